--- a/internal/ratelimit/account.go
+++ b/internal/ratelimit/account.go
@@ -5,57 +5,60 @@
 	"time"
 )
 
-// note counts demand, which decides how much the VM prefetches.
-func (a *account) note(now time.Time, tokens float64) {
+// recordDemand adds tokens to the demand estimate, which determines how many
+// tokens the VM prefetches.
+func (a *account) recordDemand(now time.Time, tokens float64) {
 	a.decayDemand(now)
 	a.demand += tokens
-	a.lastCharge = now
+	a.lastRequest = now
 }
 
 func (a *account) decayDemand(now time.Time) {
-	elapsed := now.Sub(a.demandAt)
+	elapsed := now.Sub(a.demandUpdated)
 	if elapsed <= 0 {
 		return
 	}
 	a.demand *= math.Exp(-elapsed.Seconds() / demandDecay.Seconds())
-	a.demandAt = now
+	a.demandUpdated = now
 }
 
-// available returns what can be charged at now.
+// available returns the number of tokens that can be charged at now.
 func (a *account) available(now time.Time) float64 {
 	a.floor.refill(now)
 	a.borrowed = dropExpired(a.borrowed, now)
-	return a.floor.level + a.liveGrant(now) + sumLots(a.borrowed)
+	return a.floor.level + a.unexpiredGrant(now) + sumTokens(a.borrowed)
 }
 
-// liveGrant drops the grant once it has expired.
-func (a *account) liveGrant(now time.Time) float64 {
+// unexpiredGrant returns the granted tokens. It sets them to zero once the
+// grant has expired.
+func (a *account) unexpiredGrant(now time.Time) float64 {
 	if !now.Before(a.granted.expires) {
 		a.granted.tokens = 0
 	}
 	return a.granted.tokens
 }
 
-// spend charges tokens if all of them are there. What expires first is used
-// first; the floor comes last, because it stays.
-func (a *account) spend(now time.Time, tokens float64) bool {
+// tryCharge charges tokens and the debt if the available tokens cover both.
+// Tokens that expire first are used first. Floor tokens are used last, because
+// they do not expire.
+func (a *account) tryCharge(now time.Time, tokens float64) bool {
 	if a.available(now) < tokens+a.debt {
 		return false
 	}
-	a.take(tokens + a.debt)
+	a.deduct(tokens + a.debt)
 	a.debt = 0
 	return true
 }
 
-// payDebt uses what there is for the debt.
+// payDebt pays as much of the debt as the available tokens cover.
 func (a *account) payDebt(now time.Time) {
 	paid := min(a.debt, a.available(now))
-	a.take(paid)
+	a.deduct(paid)
 	a.debt -= paid
 }
 
-// take removes tokens that are known to be available.
-func (a *account) take(tokens float64) {
+// deduct removes tokens that the caller knows to be available.
+func (a *account) deduct(tokens float64) {
 	for len(a.borrowed) > 0 && tokens > 0 {
 		part := min(tokens, a.borrowed[0].tokens)
 		a.borrowed[0].tokens -= part
@@ -69,44 +72,48 @@
 	a.floor.level = max(0, a.floor.level-(tokens-part))
 }
 
-// wake admits waiters in order while tokens last.
-func (a *account) wake(now time.Time) {
-	for len(a.waiters) > 0 && a.spend(now, a.waiters[0].tokens) {
+// admitWaiters admits waiting requests in order of arrival while tokens last.
+func (a *account) admitWaiters(now time.Time) {
+	for len(a.waiters) > 0 && a.tryCharge(now, a.waiters[0].tokens) {
 		close(a.waiters[0].Ready)
 		a.waiters = a.waiters[1:]
 	}
 }
 
-// report returns the entry for the root; false if there is nothing to say.
-func (a *account) report(now time.Time, workspace string) (ReportItem, bool) {
+// reportItem returns the entry for the report to the root. It returns false if
+// there is nothing to report.
+func (a *account) reportItem(now time.Time, workspace string) (ReportItem, bool) {
 	a.decayDemand(now)
 	a.lent = dropExpired(a.lent, now)
-	held := a.liveGrant(now)
+	held := a.unexpiredGrant(now)
 	givenBack := 0.0
-	if len(a.waiters) == 0 && now.Sub(a.lastCharge) > idleAfter {
-		// From now on this VM does not spend them. A lost report loses them.
+	if len(a.waiters) == 0 && now.Sub(a.lastRequest) > idleGrantTimeout {
+		// This VM must not spend these tokens any more. They are lost if the
+		// report is lost.
 		givenBack, held = held, 0
 		a.granted.tokens = 0
 	}
 	item := ReportItem{
 		Workspace:   workspace,
 		GivenBack:   givenBack,
-		Outstanding: held + sumLots(a.lent),
-		First:       a.lack(now, 1),
-		Need:        a.lack(now, len(a.waiters)),
-		Prefetch:    a.prefetch(held),
-		Returned:    a.returned,
+		Outstanding: held + sumTokens(a.lent),
+		First:       a.shortfall(now, 1),
+		Need:        a.shortfall(now, len(a.waiters)),
+		Prefetch:    a.prefetchAmount(held),
+		Returned:    a.pendingRefund,
 	}
-	if a.returned > 0 {
-		item.ReturnedAge = now.Sub(a.oldest)
-		// A lost report loses the refund; sending it twice could double it.
-		a.returned = 0
+	if a.pendingRefund > 0 {
+		item.ReturnedAge = now.Sub(a.oldestRefunded)
+		// A lost report loses the refund. Sending it again could credit it
+		// twice.
+		a.pendingRefund = 0
 	}
 	return item, item.Outstanding > 0 || item.Need > 0 || item.Prefetch > 0 || item.Returned > 0 || item.GivenBack > 0
 }
 
-// lack returns what the first n waiting requests are short of.
-func (a *account) lack(now time.Time, n int) float64 {
+// shortfall returns the tokens that the first n waiting requests and the debt
+// need beyond what is available. It returns the debt if no request waits.
+func (a *account) shortfall(now time.Time, n int) float64 {
 	if len(a.waiters) == 0 {
 		return a.debt
 	}
@@ -117,8 +124,9 @@
 	return max(0, sum-a.available(now))
 }
 
-// prefetch is the part of the recent demand that is not held yet.
-func (a *account) prefetch(held float64) float64 {
+// prefetchAmount returns the tokens beyond those held that are needed to cover
+// prefetchWindow at the recent rate of demand.
+func (a *account) prefetchAmount(held float64) float64 {
 	rate := a.demand / demandDecay.Seconds()
 	want := rate*prefetchWindow.Seconds() - held
 	if want < 1 {
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// arrivalModel sends bursty, uneven traffic of workspaces that stay inside
-// their rate: on for a few seconds, off for longer, most of it through few VMs.
+// arrivalModel generates bursty, uneven traffic of workspaces that stay within
+// their rate. Each workspace alternates between 4 s with requests and 4 s
+// without, and sends most of its requests through a few VMs.
 type arrivalModel struct {
 	rng        *rand.Rand
 	workspaces []string
@@ -54,8 +55,9 @@
 	deadline  time.Time
 }
 
-// run returns the in-rate requests and how many of them were refused, by the
-// shared buckets and by an even static split of rate and burst over VMs.
+// run returns the number of in-rate requests and how many of them were refused,
+// by the shared buckets and by an even static split of rate and burst over the
+// VMs.
 func (m *arrivalModel) run(duration time.Duration) (requests, refused, refusedStatic int) {
 	ideal := make([]floor, len(m.workspaces))
 	static := make([]floor, len(m.workspaces)*m.vms)
@@ -66,12 +68,12 @@
 			for range m.arrivals(w) {
 				vm := int(float64(m.vms) * m.rng.Float64() * m.rng.Float64() * m.rng.Float64())
 				tokens := requestMean * (0.5 + m.rng.Float64())
-				if !takeFloor(&ideal[w], m.now, m.start, m.plan.Rate, m.plan.Burst, tokens) {
+				if !takeTokens(&ideal[w], m.now, m.start, m.plan.Rate, m.plan.Burst, tokens) {
 					continue
 				}
 				requests++
 				n := float64(m.vms)
-				if !takeFloor(&static[w*m.vms+vm], m.now, m.start, m.plan.Rate/n, m.plan.Burst/n, tokens) {
+				if !takeTokens(&static[w*m.vms+vm], m.now, m.start, m.plan.Rate/n, m.plan.Burst/n, tokens) {
 					refusedStatic++
 				}
 				if waiter := m.locals[vm].Admit(m.now, name, m.plan, tokens); waiter != nil {
@@ -85,8 +87,8 @@
 	return requests, refused, refusedStatic
 }
 
-// arrivals returns the number of requests of a workspace in one tick: 80% of
-// its rate on average, in phases of twice that and nothing.
+// arrivals returns the number of requests of a workspace in one tick. They
+// average 80% of its rate, in alternating phases of 160% and zero.
 func (m *arrivalModel) arrivals(w int) int {
 	phase := (m.now.Sub(m.start) + time.Duration(w)*731*time.Millisecond) / (4 * time.Second)
 	if phase%2 == 1 {
@@ -100,7 +102,8 @@
 	return n
 }
 
-// exchange lets every VM report as often as the daemon does.
+// exchange makes every VM report at the daemon's intervals: every 400 ms, and
+// every 50 ms while requests wait.
 func (m *arrivalModel) exchange() {
 	tick := int(m.now.Sub(m.start) / modelTick)
 	for vm, l := range m.locals {
@@ -130,10 +133,10 @@
 	return kept, refused
 }
 
-// takeFloor uses a floor as a plain token bucket that has filled since start.
-func takeFloor(f *floor, now, start time.Time, rate, capacity, tokens float64) bool {
-	if f.refilled.IsZero() {
-		f.refilled = start
+// takeTokens uses a floor as a plain token bucket that was empty at start.
+func takeTokens(f *floor, now, start time.Time, rate, capacity, tokens float64) bool {
+	if f.lastRefill.IsZero() {
+		f.lastRefill = start
 	}
 	f.rate, f.capacity = rate, capacity
 	f.refill(now)
@@ -144,9 +147,9 @@
 	return true
 }
 
-// Reports the part of in-rate requests that are refused, at the sizes of today
-// and of the plan. Goals: 0.1% with 9 VMs, 1% with 350 VMs and 1,900
-// workspaces.
+// BenchmarkInRateRefusals reports the percentage of in-rate requests that are
+// refused, at the current and the planned fleet sizes. The goals are 0.1% with
+// 9 VMs and 1% with 350 VMs and 1,900 workspaces.
 func BenchmarkInRateRefusals(b *testing.B) {
 	for _, size := range []struct{ vms, workspaces, seconds int }{{9, 5, 120}, {35, 50, 60}, {90, 300, 30}, {350, 1900, 20}} {
 		b.Run(fmt.Sprintf("vms=%d/workspaces=%d", size.vms, size.workspaces), func(b *testing.B) {
@@ -161,7 +164,8 @@
 	}
 }
 
-// Measures one report of a VM with ten active workspaces at the root.
+// BenchmarkRootHandle measures the handling of one report with ten active
+// workspaces by the root.
 func BenchmarkRootHandle(b *testing.B) {
 	for _, vms := range []int{9, 35, 90, 350} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
@@ -187,7 +191,8 @@
 	}
 }
 
-// Measures an admission from tokens that the VM holds.
+// BenchmarkLocalAdmit measures an admission that is covered by tokens that the
+// VM holds.
 func BenchmarkLocalAdmit(b *testing.B) {
 	now := time.Unix(1000, 0)
 	l := NewLocal(now, Holder{"vm", 1}, "z/0")
--- a/internal/ratelimit/bound_test.go
+++ b/internal/ratelimit/bound_test.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// admission is the net number of tokens admitted at one moment.
+// admission records one admitted request. tokens is the net amount after
+// settlement, charge the amount charged at admission.
 type admission struct {
 	at     time.Time
 	tokens float64
 	charge float64
 }
 
-// fleet runs a root and a few VMs under a schedule that loses messages,
-// crashes VMs, replaces the leader and cuts VMs off.
+// fleet simulates a root and a few VMs on a random schedule with lost messages,
+// VM crashes, leader changes and VMs that are cut off.
 type fleet struct {
 	t          *testing.T
 	rng        *rand.Rand
@@ -27,10 +28,10 @@
 	locals     []*Local
 	start      []time.Time
 	admissions []*admission
-	open       []openCharge
+	unsettled  []unsettledCharge
 	waiting    []waitingRequest
-	// closest is the highest part of the bound that the schedule reached.
-	closest float64
+	// maxUsed is the largest fraction of the bound that the schedule reached.
+	maxUsed float64
 }
 
 type waitingRequest struct {
@@ -40,7 +41,7 @@
 	tokens float64
 }
 
-type openCharge struct {
+type unsettledCharge struct {
 	vm        int
 	local     *Local
 	admission *admission
@@ -64,7 +65,8 @@
 
 func (f *fleet) lookup(string) (Plan, bool) { return f.plan, true }
 
-// exchange reports to the root; the report or the answer may be lost.
+// exchange sends a report to the root and applies the answer. The report or the
+// answer may be lost.
 func (f *fleet) exchange(vm int, loseReport, loseAnswer bool) {
 	report, _ := f.locals[vm].Report(f.now)
 	if loseReport {
@@ -76,7 +78,7 @@
 	}
 }
 
-// admit leaves the request waiting if its tokens are not there.
+// admit leaves the request waiting if the VM lacks the tokens for it.
 func (f *fleet) admit(vm int, tokens float64) {
 	w := f.locals[vm].Admit(f.now, "w", f.plan, tokens)
 	if w == nil {
@@ -89,11 +91,11 @@
 func (f *fleet) record(vm int, tokens float64) {
 	a := &admission{at: f.now, tokens: tokens, charge: tokens}
 	f.admissions = append(f.admissions, a)
-	f.open = append(f.open, openCharge{vm, f.locals[vm], a})
+	f.unsettled = append(f.unsettled, unsettledCharge{vm, f.locals[vm], a})
 }
 
-// collect records the waiting requests that have been admitted.
-func (f *fleet) collect() {
+// recordAdmitted records the waiting requests that have been admitted.
+func (f *fleet) recordAdmitted() {
 	f.waiting = slices.DeleteFunc(f.waiting, func(w waitingRequest) bool {
 		select {
 		case <-w.waiter.Ready:
@@ -111,15 +113,15 @@
 	for _, w := range f.waiting {
 		w.local.Cancel(f.now, "w", w.waiter)
 	}
-	f.collect()
+	f.recordAdmitted()
 	f.waiting = nil
 }
 
 func (f *fleet) settle(i int, fraction float64) {
-	o := f.open[i]
-	f.open = append(f.open[:i], f.open[i+1:]...)
+	o := f.unsettled[i]
+	f.unsettled = append(f.unsettled[:i], f.unsettled[i+1:]...)
 	if f.locals[o.vm] != o.local {
-		return // The VM that charged is gone; nothing comes back.
+		return // The VM restarted after the charge, so nothing is refunded.
 	}
 	o.admission.tokens = math.Floor(o.admission.charge * fraction)
 	o.local.Settle(f.now, "w", o.admission.at, o.admission.charge, o.admission.tokens)
@@ -134,35 +136,36 @@
 	}
 }
 
-// round is one episode: the buckets fill, tokens spread over VMs, something
-// fails, and then every VM drains what it can get. The bound is only reached
-// from full buckets.
+// round is one episode: the buckets fill, tokens are spread over the VMs, a
+// fault may occur, and then the VMs spend all that they can get. The bound can
+// be reached only from full buckets.
 func (f *fleet) round() {
-	f.sleep(f.rng.IntN(8000))
+	f.advance(f.rng.IntN(8000))
 	for range f.rng.IntN(12) {
-		f.act(20)
+		f.randomAction(20)
 		if f.rng.IntN(2) == 0 {
-			f.hoard(f.rng.IntN(len(f.locals)))
+			f.leaveUnspent(f.rng.IntN(len(f.locals)))
 		}
 	}
-	f.sleep(f.rng.IntN(2200))
+	f.advance(f.rng.IntN(2200))
 	if f.rng.IntN(3) == 0 {
-		f.fail()
-		f.sleep(f.rng.IntN(1900))
+		f.injectFault()
+		f.advance(f.rng.IntN(1900))
 	}
 	for range 10 + f.rng.IntN(40) {
-		f.act(20)
-		f.drain(f.rng.IntN(len(f.locals)))
+		f.randomAction(20)
+		f.admitUntilWait(f.rng.IntN(len(f.locals)))
 	}
 	f.cancelAll()
 }
 
-func (f *fleet) sleep(ms int) {
+func (f *fleet) advance(ms int) {
 	f.now = f.now.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// drain admits small requests at one VM until one has to wait.
-func (f *fleet) drain(vm int) {
+// admitUntilWait admits up to 20 small requests at one VM, until one has to
+// wait.
+func (f *fleet) admitUntilWait(vm int) {
 	for range 20 {
 		waiting := len(f.waiting)
 		f.admit(vm, float64(5+f.rng.IntN(30)))
@@ -172,20 +175,20 @@
 	}
 }
 
-// hoard leaves a VM with unspent tokens: its request gives up while the grant
-// is on the way.
-func (f *fleet) hoard(vm int) {
+// leaveUnspent leaves a VM with unspent tokens: its request is canceled while
+// the grant is in flight.
+func (f *fleet) leaveUnspent(vm int) {
 	l := f.locals[vm]
 	w := l.Admit(f.now, "w", f.plan, float64(50+f.rng.IntN(250)))
 	report, _ := l.Report(f.now)
 	if w == nil || !l.Cancel(f.now, "w", w) {
-		return // Charged, and counted as unused: the tokens are lost.
+		return // The request was charged but does not run: its tokens are lost.
 	}
 	l.Credit(f.now, report.Sequence, f.root.Handle(f.now, report, f.lookup))
 }
 
-// act takes one random action.
-func (f *fleet) act(maxStepMS int) {
+// randomAction takes one random action.
+func (f *fleet) randomAction(maxStepMS int) {
 	vm := f.rng.IntN(len(f.locals))
 	switch action := f.rng.IntN(20); {
 	case action < 8:
@@ -193,80 +196,80 @@
 	case action < 12:
 		f.lend(vm, (vm+1)%len(f.locals), float64(1+f.rng.IntN(200)), action == 8)
 	case action < 16:
-		if n := len(f.open); n > 0 {
+		if n := len(f.unsettled); n > 0 {
 			f.settle(f.rng.IntN(n), float64(f.rng.IntN(4))/4)
 		}
 	case action == 16:
 		f.reorder(vm)
 	case action == 17:
-		// Long enough for the VM to give its idle tokens back.
-		f.sleep(1100)
+		// Idle tokens are returned to the root after one second.
+		f.advance(1100)
 		f.exchange(vm, false, false)
 	default:
-		f.sleep(f.rng.IntN(maxStepMS))
+		f.advance(f.rng.IntN(maxStepMS))
 	}
-	f.collect()
+	f.recordAdmitted()
 }
 
-// reorder lets a report arrive after a later one and delivers the late answer.
+// reorder delivers a report and its answer after those of a later report.
 func (f *fleet) reorder(vm int) {
 	l := f.locals[vm]
 	late, _ := l.Report(f.now)
 	f.exchange(vm, false, false)
-	f.collect()
-	f.drain(vm)
+	f.recordAdmitted()
+	f.admitUntilWait(vm)
 	l.Credit(f.now, late.Sequence, f.root.Handle(f.now, late, f.lookup))
 }
 
-func (f *fleet) fail() {
+func (f *fleet) injectFault() {
 	switch f.rng.IntN(3) {
 	case 0:
 		f.restart(f.rng.IntN(len(f.locals)))
 	case 1:
 		f.root = NewRoot(f.now)
 	default:
-		// A VM out of reach of the root misses several exchanges.
-		f.sleep(1000 + f.rng.IntN(2000))
+		// No VM exchanges reports with the root for several report intervals.
+		f.advance(1000 + f.rng.IntN(2000))
 	}
 }
 
-// check verifies the bound for every pair of admissions. The tokens above the
-// rate in an interval are a difference of two running sums, so the lowest sum
-// so far gives the worst interval that ends at each admission.
-func (f *fleet) check(seed uint64) {
+// checkBound verifies the bound for every pair of admissions. The tokens above
+// the rate in an interval are the difference of two running sums, so the lowest
+// sum so far gives the worst interval that ends at each admission.
+func (f *fleet) checkBound(seed uint64) {
 	lowest, sum := math.Inf(1), 0.0
 	for _, a := range f.admissions {
 		refill := f.plan.Rate * a.at.Sub(f.admissions[0].at).Seconds()
 		lowest = min(lowest, sum-refill)
 		sum += a.tokens
 		used := sum - refill - lowest
-		f.closest = max(f.closest, used/f.plan.Burst)
+		f.maxUsed = max(f.maxUsed, used/f.plan.Burst)
 		if used > f.plan.Burst+1e-6 {
-			f.t.Fatalf("seed %d: %.3f tokens above the rate at %v, the burst is %.3f", seed, used, a.at.Sub(f.admissions[0].at), f.plan.Burst)
+			f.t.Fatalf("seed %d: %.3f tokens admitted above the rate at %v, want at most the burst of %.3f", seed, used, a.at.Sub(f.admissions[0].at), f.plan.Burst)
 		}
 	}
 }
 
-// Guards the bound of rate and burst over all VMs against lost messages,
-// crashes, new leaders, loans between VMs and refunds.
+// Guards against admissions over all VMs that exceed rate and burst after lost
+// messages, crashes, leader changes, loans between VMs or refunds.
 func TestAdmittedTokensNeverExceedRateAndBurst(t *testing.T) {
 	const schedules, rounds = 500, 12
-	closest := 0.0
+	maxUsed := 0.0
 	for seed := range uint64(schedules) {
 		f := newFleet(t, seed)
 		for range rounds {
 			f.round()
 		}
-		f.check(seed)
-		closest = max(closest, f.closest)
+		f.checkBound(seed)
+		maxUsed = max(maxUsed, f.maxUsed)
 	}
-	if closest < 0.95 {
-		t.Fatalf("the schedules only reach %.2f of the bound, so they would not notice most faults", closest)
+	if maxUsed < 0.95 {
+		t.Fatalf("the schedules reach only %.2f of the bound and would miss most faults", maxUsed)
 	}
 }
 
-// Guards against a zone that stops serving because the root is out of reach.
-func TestVMWithoutRootLivesOnItsFloorAndLoans(t *testing.T) {
+// Guards against a zone that stops serving because the root is unreachable.
+func TestVMWithoutRootAdmitsFromFloorAndLoans(t *testing.T) {
 	now := time.Unix(1000, 0)
 	plan := Plan{Rate: 100, Burst: 300, FloorFraction: 0.3, Slots: 3}
 	a := NewLocal(now, Holder{"a", 1}, "z/0")
@@ -290,12 +293,12 @@
 	}
 }
 
-// Guards against a restarted VM that spends its floor again.
+// Guards against a restarted VM that spends its floor a second time.
 func TestRestartedVMStartsEmpty(t *testing.T) {
 	now := time.Unix(1000, 0)
 	plan := Plan{Rate: 100, Burst: 300, FloorFraction: 0.5, Slots: 1}
 	l := NewLocal(now, Holder{"a", 1}, "z/0")
 	if w := l.Admit(now, "w", plan, 1); w == nil {
-		t.Fatal("a VM admitted tokens at the moment of its start")
+		t.Fatal("a VM admitted a request at the moment of its start")
 	}
 }
--- a/internal/ratelimit/divider.go
+++ b/internal/ratelimit/divider.go
@@ -6,46 +6,48 @@
 	"time"
 )
 
-// Divider divides the rates of workspaces into fractions. It is safe for
-// concurrent use.
+// Divider allocates fractions of the rates of workspaces to VMs. It runs on the
+// leader of the control log and is safe for concurrent use.
 type Divider struct {
 	window time.Duration
 
 	mu      sync.Mutex
 	started time.Duration
-	vms     map[string]*shareHolder
-	// gone are earlier starts and silent VMs, whose spending still counts.
-	gone []*shareHolder
-	// before is what was spent under the leader before, as it has recorded,
-	// less what VMs have stated with their first report.
-	before map[string]Spending
-	// rates is what was spent per second under the leader before.
-	rates map[string]float64
+	vms     map[string]*vmShares
+	// departed holds earlier incarnations of VMs and VMs that stopped
+	// reporting. Their spending still counts.
+	departed []*vmShares
+	// previousSpending is what was spent under the previous leader according to
+	// its last record, less what VMs have included in their first reports.
+	previousSpending map[string]Spending
+	// previousRates is what was spent per second under the previous leader.
+	previousRates map[string]float64
 }
 
-type shareHolder struct {
+type vmShares struct {
 	incarnation int64
-	seen        time.Duration
-	// reports are the latest reports, granted the fractions that the VM may
-	// be using.
+	lastReport  time.Duration
+	// reports holds the latest report on each workspace, granted the fractions
+	// that the VM may be using.
 	reports map[string]ShareReport
 	granted map[string]float64
 }
 
-// NewDivider returns a divider that starts at now, on a clock that does not
-// stop during a suspension. Window is the time over which spending is limited.
-// Before is what workspaces had spent within the window under the leader before.
-func NewDivider(now, window time.Duration, before map[string]Spending) *Divider {
-	d := &Divider{window: window, started: now, vms: make(map[string]*shareHolder), before: make(map[string]Spending)}
-	maps.Copy(d.before, before)
-	d.rates = make(map[string]float64, len(before))
-	for workspace, spending := range before {
-		d.rates[workspace] = spending.Recent / (window / 2).Seconds()
+// NewDivider returns a divider that starts at now, on a clock that keeps
+// running while the machine is suspended. window is the period over which
+// spending is limited. previous is what workspaces had spent within the window
+// under the previous leader.
+func NewDivider(now, window time.Duration, previous map[string]Spending) *Divider {
+	d := &Divider{window: window, started: now, vms: make(map[string]*vmShares), previousSpending: make(map[string]Spending)}
+	maps.Copy(d.previousSpending, previous)
+	d.previousRates = make(map[string]float64, len(previous))
+	for workspace, spending := range previous {
+		d.previousRates[workspace] = spending.Recent / (window / 2).Seconds()
 	}
 	return d
 }
 
-// Totals returns what each workspace has spent.
+// Totals returns what each workspace has spent within the window.
 func (d *Divider) Totals(now time.Duration) map[string]Spending {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,32 +58,33 @@
 			totals[workspace] = totals[workspace].plus(r.Spending)
 		}
 	}
-	for _, h := range d.gone {
+	for _, h := range d.departed {
 		for workspace, r := range h.reports {
 			totals[workspace] = totals[workspace].plus(r.Spending)
 		}
 	}
-	for workspace := range d.before {
-		totals[workspace] = totals[workspace].plus(Spending{Spent: d.spentBefore(now, workspace)})
+	for workspace := range d.previousSpending {
+		totals[workspace] = totals[workspace].plus(Spending{Spent: d.previousSpent(now, workspace)})
 	}
 	return totals
 }
 
-// spentBefore is what is left in the window of the spending under the leader
-// before that no VM has stated. Within each half of the window it counts as
-// spent at the end.
-func (d *Divider) spentBefore(now time.Duration, workspace string) float64 {
+// previousSpent returns the spending under the previous leader that is still in
+// the window and that no VM has reported. Spending in either half of the window
+// is treated as if it occurred at the end of that half.
+func (d *Divider) previousSpent(now time.Duration, workspace string) float64 {
 	switch age := now - d.started; {
 	case age < d.window/2:
-		return d.before[workspace].Spent
+		return d.previousSpending[workspace].Spent
 	case age < d.window:
-		return d.before[workspace].Recent
+		return d.previousSpending[workspace].Recent
 	}
 	return 0
 }
 
-// Report takes the report of one start of a VM and answers it. An earlier start
-// is gone and uses nothing any more.
+// Report stores the report of one incarnation of a VM and returns its grants.
+// An earlier incarnation has ended and spends nothing any more; its reports get
+// no answer.
 func (d *Divider) Report(now time.Duration, vm string, incarnation int64, reports map[string]ShareReport) map[string]ShareGrant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,24 +94,24 @@
 		if h != nil {
 			d.retire(now, h)
 		}
-		h = &shareHolder{incarnation: incarnation}
+		h = &vmShares{incarnation: incarnation}
 		d.vms[vm] = h
 		for workspace, r := range reports {
-			d.before[workspace] = d.before[workspace].minus(r.Spending)
+			d.previousSpending[workspace] = d.previousSpending[workspace].minus(r.Spending)
 		}
 	}
 	if h.incarnation != incarnation {
 		return nil
 	}
-	h.seen = now
+	h.lastReport = now
 	h.reports = reports
 	answer := make(map[string]ShareGrant, len(reports))
 	granted := make(map[string]float64, len(reports))
 	for workspace, r := range reports {
-		g := d.others(now, h, workspace)
-		g.Fraction = d.grant(now, h, workspace, r.Held)
-		if g.Fresh = now-d.started < freshTime; g.Fresh {
-			g.BeforeRate = d.rates[workspace]
+		g := d.sumOthers(now, h, workspace)
+		g.Fraction = d.nextFraction(now, h, workspace, r.Held)
+		if g.WarmingUp = now-d.started < warmupTime; g.WarmingUp {
+			g.PreviousRate = d.previousRates[workspace]
 		}
 		answer[workspace] = g
 		granted[workspace] = g.Fraction
@@ -117,68 +120,70 @@
 	return answer
 }
 
-// others sums up what all other VMs have spent and are asked for. Since its
-// last report a VM may have admitted all that it was asked for.
-func (d *Divider) others(now time.Duration, h *shareHolder, workspace string) ShareGrant {
+// sumOthers returns the total spending and demand of all other VMs. A VM counts
+// as having admitted all of its demand since its last report.
+func (d *Divider) sumOthers(now time.Duration, h *vmShares, workspace string) ShareGrant {
 	var g ShareGrant
 	for _, other := range d.vms {
 		if other != h {
 			r := other.reports[workspace]
-			g.Others += r.Spent + r.Demand*(now-other.seen).Seconds()
-			g.OthersDemand += r.Demand
+			g.SpentByOthers += r.Spent + r.Demand*(now-other.lastReport).Seconds()
+			g.DemandOfOthers += r.Demand
 		}
 	}
-	for _, other := range d.gone {
-		g.Others += other.reports[workspace].Spent
+	for _, other := range d.departed {
+		g.SpentByOthers += other.reports[workspace].Spent
 	}
-	// VMs that were lost together with the leader before report nothing.
-	g.Others += d.spentBefore(now, workspace)
+	// VMs that were lost together with the previous leader report nothing.
+	g.SpentByOthers += d.previousSpent(now, workspace)
 	return g
 }
 
-// retire keeps what a VM has spent after it is gone. Since its last report it may
-// have admitted all that it was asked for.
-func (d *Divider) retire(now time.Duration, h *shareHolder) {
-	unreported := min(now-h.seen, ShareLease).Seconds()
+// retire keeps counting the spending of a VM that has departed. The VM may have
+// admitted all of its demand between its last report and the end of its lease.
+func (d *Divider) retire(now time.Duration, h *vmShares) {
+	unreported := min(now-h.lastReport, ShareLease).Seconds()
 	for workspace, r := range h.reports {
 		growth := r.Demand * unreported
 		r.Spending = r.Spending.plus(Spending{growth, growth})
 		h.reports[workspace] = r
 	}
-	h.seen = now
-	d.gone = append(d.gone, h)
+	h.lastReport = now
+	d.departed = append(d.departed, h)
 }
 
 func (d *Divider) expire(now time.Duration) {
 	for name, h := range d.vms {
-		if now-h.seen > ShareReclaim {
+		if now-h.lastReport > ShareReclaim {
 			delete(d.vms, name)
 			d.retire(now, h)
 		}
 	}
-	kept := d.gone[:0]
-	for _, h := range d.gone {
-		if now-h.seen <= d.window {
+	kept := d.departed[:0]
+	for _, h := range d.departed {
+		if now-h.lastReport <= d.window {
 			kept = append(kept, h)
 		}
 	}
-	d.gone = kept
+	d.departed = kept
 }
 
-// grant returns the new fraction of one VM. A decrease takes effect with the
-// answer, so the VM counts with the larger value until its next report.
-func (d *Divider) grant(now time.Duration, h *shareHolder, workspace string, held float64) float64 {
-	target := d.target(h, workspace)
+// nextFraction returns the new fraction of one VM. A decrease takes effect only
+// when the VM receives the answer, so the VM counts with the larger value until
+// its next report.
+func (d *Divider) nextFraction(now time.Duration, h *vmShares, workspace string, held float64) float64 {
+	desired := d.fractionByDemand(h, workspace)
 	free := 1 - d.heldByOthers(h, workspace)
-	if now-d.started < ShareReclaim && target > held {
-		// VMs that have not reported to this divider may use the rest.
-		target = max(held, newcomerPart)
+	if now-d.started < ShareReclaim && desired > held {
+		// VMs that have not yet reported to this divider may be using the rest.
+		desired = max(held, startupFraction)
 	}
-	return max(0, min(target, free))
+	return max(0, min(desired, free))
 }
 
-// target is the fraction by demand.
-func (d *Divider) target(h *shareHolder, workspace string) float64 {
+// fractionByDemand returns the fraction of a VM: evenFraction is divided
+// evenly, the rest in proportion to demand.
+func (d *Divider) fractionByDemand(h *vmShares, workspace string) float64 {
 	sum := 0.0
 	for _, other := range d.vms {
 		sum += other.reports[workspace].Demand
@@ -187,10 +192,10 @@
 	if sum <= 0 {
 		return even
 	}
-	return evenPart*even + (1-evenPart)*h.reports[workspace].Demand/sum
+	return evenFraction*even + (1-evenFraction)*h.reports[workspace].Demand/sum
 }
 
-func (d *Divider) heldByOthers(h *shareHolder, workspace string) float64 {
+func (d *Divider) heldByOthers(h *vmShares, workspace string) float64 {
 	sum := 0.0
 	for _, other := range d.vms {
 		if other != h {
--- a/internal/ratelimit/floor.go
+++ b/internal/ratelimit/floor.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// lot is an amount of tokens that expires.
-type lot struct {
+// tokenLease is an amount of tokens that can be spent until it expires.
+type tokenLease struct {
 	tokens  float64
 	expires time.Time
 }
 
-// dropExpired removes the lots that have expired by now.
-func dropExpired(lots []lot, now time.Time) []lot {
-	return slices.DeleteFunc(lots, func(l lot) bool { return !now.Before(l.expires) })
+// dropExpired removes the leases that have expired by now.
+func dropExpired(leases []tokenLease, now time.Time) []tokenLease {
+	return slices.DeleteFunc(leases, func(l tokenLease) bool { return !now.Before(l.expires) })
 }
 
-// floor is the bucket of one VM slot. The invariant is
-// level + lent <= capacity. It starts empty, because an earlier process in the
-// same slot may just have spent everything.
+// floor is the token bucket of one VM slot. The invariant is
+// level + lent <= capacity. The bucket starts empty, because an earlier process
+// in the same slot may have just spent its whole capacity.
 type floor struct {
-	rate     float64
-	capacity float64
-	level    float64
-	refilled time.Time
-	lent     []lot
+	rate       float64
+	capacity   float64
+	level      float64
+	lastRefill time.Time
+	lent       []tokenLease
 }
 
 func (f *floor) configure(now time.Time, rate, capacity float64) {
@@ -36,28 +36,28 @@
 	f.refill(now)
 }
 
-// refill brings the bucket to now. Lent tokens expire one after the other, so
-// that the bucket does not fill while they could still be spent.
+// refill advances the bucket to now. Lent tokens expire one lease at a time, so
+// that the bucket does not refill while they could still be spent.
 func (f *floor) refill(now time.Time) {
-	if f.refilled.IsZero() {
-		f.refilled = now
+	if f.lastRefill.IsZero() {
+		f.lastRefill = now
 	}
 	for len(f.lent) > 0 && !now.Before(f.lent[0].expires) {
-		f.fillUntil(f.lent[0].expires)
+		f.refillUntil(f.lent[0].expires)
 		f.lent = f.lent[1:]
 	}
-	f.fillUntil(now)
+	f.refillUntil(now)
 }
 
-func (f *floor) fillUntil(t time.Time) {
-	if elapsed := t.Sub(f.refilled); elapsed > 0 {
+func (f *floor) refillUntil(t time.Time) {
+	if elapsed := t.Sub(f.lastRefill); elapsed > 0 {
 		f.level += f.rate * elapsed.Seconds()
-		f.refilled = t
+		f.lastRefill = t
 	}
-	f.level = max(0, min(f.level, f.capacity-sumLots(f.lent)))
+	f.level = max(0, min(f.level, f.capacity-sumTokens(f.lent)))
 }
 
-// lend takes up to want tokens out for a zone peer.
+// lend removes up to want tokens and returns how many a zone peer may spend.
 func (f *floor) lend(now time.Time, want float64) float64 {
 	f.refill(now)
 	tokens := min(want, f.level)
@@ -66,13 +66,13 @@
 	}
 	f.level -= tokens
 	// The borrower's clock may run slower than this one.
-	f.lent = append(f.lent, lot{tokens, now.Add(reclaimAfter)})
+	f.lent = append(f.lent, tokenLease{tokens, now.Add(reclaimAfter)})
 	return tokens
 }
 
-func sumLots(lots []lot) float64 {
+func sumTokens(leases []tokenLease) float64 {
 	sum := 0.0
-	for _, l := range lots {
+	for _, l := range leases {
 		sum += l.tokens
 	}
 	return sum
--- a/internal/ratelimit/local.go
+++ b/internal/ratelimit/local.go
@@ -7,57 +7,63 @@
 )
 
 const (
-	// prefetchWindow is how much of the recent demand a VM tries to hold, so
-	// that most requests are admitted without asking the root.
+	// prefetchWindow is the period of recent demand for which a VM tries to
+	// hold tokens, so that most requests are admitted without a call to the
+	// root.
 	prefetchWindow = 500 * time.Millisecond
 	// demandDecay is the time constant of the demand estimate.
 	demandDecay = 2 * time.Second
-	// idleAfter is when unused tokens go back to the root.
-	idleAfter = time.Second
-	// forgetAfter is when the account of an idle workspace is dropped.
-	forgetAfter = 10 * time.Minute
+	// idleGrantTimeout is how long a workspace has no requests before its
+	// granted tokens are returned to the root.
+	idleGrantTimeout = time.Second
+	// idleAccountTimeout is how long a workspace is idle before its account is
+	// deleted.
+	idleAccountTimeout = 10 * time.Minute
 )
 
 // Local admits the requests of one VM. It is safe for concurrent use.
 type Local struct {
-	mu       sync.Mutex
-	holder   Holder
-	slot     string
-	started  time.Time
-	sequence uint64
-	sentAt   time.Time
-	accounts map[string]*account
+	mu         sync.Mutex
+	holder     Holder
+	slot       string
+	started    time.Time
+	sequence   uint64
+	reportSent time.Time
+	accounts   map[string]*account
 }
 
-// account is what a VM holds of one workspace.
+// account holds the tokens of one workspace on one VM.
 type account struct {
 	plan Plan
 	// granted comes from the root, borrowed from zone peers.
-	granted  lot
-	borrowed []lot
-	// lent is the part of granted that zone peers may still spend.
-	lent  []lot
+	granted  tokenLease
+	borrowed []tokenLease
+	// lent tokens were taken from granted, and zone peers may still spend them.
+	lent  []tokenLease
 	floor floor
-	// debt is what requests used beyond their charge and no bucket covered.
+	// debt is what requests used beyond their charge and no tokens have covered
+	// yet.
 	debt    float64
 	waiters []*Waiter
-	// demand is the decaying number of tokens charged.
-	demand     float64
-	demandAt   time.Time
-	lastCharge time.Time
-	returned   float64
-	oldest     time.Time
+	// demand is the exponentially decaying sum of the tokens requested.
+	demand        float64
+	demandUpdated time.Time
+	lastRequest   time.Time
+	// pendingRefund is sent to the root with the next report. oldestRefunded is
+	// the earliest admission in it.
+	pendingRefund  float64
+	oldestRefunded time.Time
 }
 
 // Waiter is a request that waits for tokens.
 type Waiter struct {
-	// Ready is closed once the tokens are charged.
+	// Ready is closed once the tokens have been charged.
 	Ready chan struct{}
 
 	tokens float64
 }
 
-// NewLocal returns the accounts of a VM that started at now, all empty.
+// NewLocal returns the limiter of a VM that started at now. It holds no tokens.
 func NewLocal(now time.Time, holder Holder, slot string) *Local {
 	return &Local{holder: holder, slot: slot, started: now, accounts: make(map[string]*account)}
 }
@@ -68,8 +74,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(now, workspace, plan)
-	a.note(now, tokens)
-	if len(a.waiters) == 0 && a.spend(now, tokens) {
+	a.recordDemand(now, tokens)
+	if len(a.waiters) == 0 && a.tryCharge(now, tokens) {
 		return nil
 	}
 	w := &Waiter{Ready: make(chan struct{}), tokens: tokens}
@@ -77,7 +83,8 @@
 	return w
 }
 
-// Cancel removes a waiter. It reports false if the tokens were charged before.
+// Cancel removes a waiter. It returns false if the tokens have already been
+// charged.
 func (l *Local) Cancel(now time.Time, workspace string, w *Waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,12 +97,12 @@
 		return false
 	}
 	a.waiters = slices.Delete(a.waiters, i, i+1)
-	// The next request may be smaller.
-	a.wake(now)
+	// The next waiting request may need fewer tokens.
+	a.admitWaiters(now)
 	return true
 }
 
-// Settle replaces a charge by the tokens that were used.
+// Settle replaces the charge of a request by the tokens that it used.
 func (l *Local) Settle(now time.Time, workspace string, admitted time.Time, charged, used float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,18 +118,18 @@
 	if used == charged {
 		return
 	}
-	if a.returned == 0 || admitted.Before(a.oldest) {
-		a.oldest = admitted
+	if a.pendingRefund == 0 || admitted.Before(a.oldestRefunded) {
+		a.oldestRefunded = admitted
 	}
-	a.returned += charged - used
+	a.pendingRefund += charged - used
 }
 
-// Wake admits waiters for whom tokens have come in meanwhile.
+// Wake admits waiting requests for which tokens have become available.
 func (l *Local) Wake(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
-		a.wake(now)
+		a.admitWaiters(now)
 	}
 }
 
@@ -138,13 +145,13 @@
 	return false
 }
 
-// Report returns what the root must know. It reports false if this VM holds
-// nothing and wants nothing. Only one report may be in flight.
+// Report returns the next report to the root. It returns false if this VM holds
+// no tokens and needs none. Only one report may be in flight.
 func (l *Local) Report(now time.Time) (Report, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
-	l.sentAt = now
+	l.reportSent = now
 	report := Report{
 		Holder:   l.holder,
 		Slot:     l.slot,
@@ -152,17 +159,17 @@
 		Uptime:   now.Sub(l.started),
 	}
 	for name, a := range l.accounts {
-		if item, ok := a.report(now, name); ok {
+		if item, ok := a.reportItem(now, name); ok {
 			report.Items = append(report.Items, item)
-		} else if now.Sub(a.demandAt) > forgetAfter {
+		} else if now.Sub(a.demandUpdated) > idleAccountTimeout {
 			delete(l.accounts, name)
 		}
 	}
 	return report, len(report.Items) > 0
 }
 
-// Credit takes the answer to the report with the given sequence. Answers to
-// earlier reports are ignored: the root already assumes that their grants were
+// Credit applies the answer to the report with the given sequence. Answers to
+// earlier reports are ignored, because the root already treats their grants as
 // lost.
 func (l *Local) Credit(now time.Time, sequence uint64, grants []Grant) {
 	l.mu.Lock()
@@ -170,7 +177,7 @@
 	if sequence != l.sequence {
 		return
 	}
-	expires := l.sentAt.Add(GrantTTL)
+	expires := l.reportSent.Add(GrantTTL)
 	for _, a := range l.accounts {
 		if a.granted.tokens > 0 {
 			a.granted.expires = expires
@@ -178,15 +185,15 @@
 	}
 	for _, g := range grants {
 		if a := l.accounts[g.Workspace]; a != nil {
-			a.granted = lot{a.liveGrant(now) + g.Tokens, expires}
-			a.wake(now)
+			a.granted = tokenLease{a.unexpiredGrant(now) + g.Tokens, expires}
+			a.admitWaiters(now)
 		}
 	}
 }
 
 // Lend gives up to want tokens to a zone peer. The peer must stop using them
-// after ttl, counted from when it asked. Waiting requests of this VM come
-// first.
+// when ttl has passed since it sent its request. Nothing is lent while requests
+// of this VM wait.
 func (l *Local) Lend(now time.Time, workspace string, want float64) (tokens float64, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,23 +201,23 @@
 	if a == nil || len(a.waiters) > 0 || want <= 0 {
 		return 0, 0
 	}
-	// Half stays here, so that two VMs do not pass the same tokens back and
-	// forth.
+	// Half is kept, so that two VMs do not pass the same tokens back and forth.
 	a.floor.refill(now)
 	tokens = a.floor.lend(now, min(want, a.floor.level/2))
-	if granted := a.liveGrant(now) / 2; granted > 0 && tokens < want {
+	if granted := a.unexpiredGrant(now) / 2; granted > 0 && tokens < want {
 		part := min(want-tokens, granted)
 		a.granted.tokens -= part
 		ttl := max(0, a.granted.expires.Sub(now))
 		// The borrower's clock may run slower than this one.
 		margin := time.Duration(2 * clockDrift * float64(ttl))
-		a.lent = append(a.lent, lot{part, now.Add(ttl + margin)})
+		a.lent = append(a.lent, tokenLease{part, now.Add(ttl + margin)})
 		return tokens + part, ttl
 	}
 	return tokens, GrantTTL
 }
 
-// Borrow adds tokens that a zone peer lent to a request sent at sentAt.
+// Borrow adds tokens that a zone peer lent in answer to a request sent at
+// sentAt.
 func (l *Local) Borrow(now, sentAt time.Time, workspace string, tokens float64, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,16 +225,15 @@
 	if a == nil || tokens <= 0 {
 		return
 	}
-	a.borrowed = append(a.borrowed, lot{tokens, sentAt.Add(min(ttl, GrantTTL))})
-	a.wake(now)
+	a.borrowed = append(a.borrowed, tokenLease{tokens, sentAt.Add(min(ttl, GrantTTL))})
+	a.admitWaiters(now)
 }
 
-// Shortfall is what the waiting requests of a workspace lack.
+// Shortfall is the number of tokens that the first waiting request of a
+// workspace lacks.
 type Shortfall struct {
-	// Workspace names the workspace.
 	Workspace string
-	// Tokens is the amount.
-	Tokens float64
+	Tokens    float64
 }
 
 // Shortfalls lists the workspaces whose first waiting request lacks tokens.
@@ -239,8 +245,8 @@
 		if len(a.waiters) == 0 {
 			continue
 		}
-		if lack := a.waiters[0].tokens + a.debt - a.available(now); lack > 0 {
-			out = append(out, Shortfall{name, lack})
+		if shortfall := a.waiters[0].tokens + a.debt - a.available(now); shortfall > 0 {
+			out = append(out, Shortfall{name, shortfall})
 		}
 	}
 	return out
@@ -249,14 +255,14 @@
 func (l *Local) account(now time.Time, workspace string, plan Plan) *account {
 	a, ok := l.accounts[workspace]
 	if !ok {
-		a = &account{demandAt: now}
+		a = &account{demandUpdated: now}
 		// The floor has been filling since the VM started.
-		a.floor.refilled = l.started
+		a.floor.lastRefill = l.started
 		l.accounts[workspace] = a
 	}
 	if a.plan != plan {
 		a.plan = plan
-		rate, capacity := plan.floorPart()
+		rate, capacity := plan.floorLimit()
 		a.floor.configure(now, rate, capacity)
 	}
 	return a
--- a/internal/ratelimit/plan.go
+++ b/internal/ratelimit/plan.go
@@ -1,48 +1,51 @@
-// Package ratelimit holds each workspace to its token rate and burst over all
-// VMs together, so that for every interval T the tokens admitted are at most
-// rate x T + burst.
+// Package ratelimit limits each workspace to its token rate and burst over all
+// VMs together: within any interval T at most rate x T + burst tokens are
+// admitted.
 //
 // Tokens are conserved. A root bucket on the leader of the control log grants
-// tokens to VMs; its level plus everything outstanding at VMs never exceeds its
-// capacity. A fixed fraction of rate and burst, the floor, belongs to the VM
-// slots and works without the root, so that a zone that is cut off goes on
-// serving. VMs of a zone lend each other tokens; the lender counts them as
-// outstanding until they have expired, so a token is never counted at two VMs.
-// The package does no I/O, and only durations cross between VMs.
+// tokens to VMs; its level plus all tokens outstanding at VMs never exceeds its
+// capacity. A fixed fraction of rate and burst, the floor, is divided among the
+// VM slots and can be spent without the root, so that a zone that is cut off
+// continues to serve. VMs of a zone lend each other tokens. The lender counts
+// them as outstanding until they expire, so no token is counted at two VMs. The
+// package does no I/O, and VMs exchange only durations, no absolute times.
 package ratelimit
 
 import "time"
 
 const (
-	// GrantTTL is how long granted tokens can be spent after the VM asked.
+	// GrantTTL is how long a VM may spend granted tokens, counted from its
+	// request.
 	GrantTTL = 2 * time.Second
-	// clockDrift bounds the difference in speed between two VMs' clocks.
+	// clockDrift is the maximum relative drift assumed for the clock of a VM.
 	clockDrift = 0.01
-	// reclaimAfter is when the root counts granted tokens as gone. The root's
-	// clock may run faster than the VM's by the drift on both sides.
+	// reclaimAfter is when the root stops counting granted tokens as
+	// outstanding. It exceeds GrantTTL because the root's clock may run fast
+	// and the VM's clock slow, each by clockDrift.
 	reclaimAfter = GrantTTL + time.Duration(2*clockDrift*float64(GrantTTL))
 )
 
-// Plan is the rate of one workspace.
+// Plan is the rate limit of one workspace.
 type Plan struct {
 	// Rate is the sustained rate in tokens per second, over all VMs.
 	Rate float64
-	// Burst is the largest number of tokens admitted at once, over all VMs.
+	// Burst is the maximum number of tokens admitted at once, over all VMs.
 	Burst float64
-	// FloorFraction is the part of rate and burst that belongs to VM slots.
+	// FloorFraction is the fraction of rate and burst that is divided among the
+	// VM slots.
 	FloorFraction float64
 	// Slots is the number of VM slots over all zones.
 	Slots int
 }
 
-// rootPart returns the rate and capacity of the root bucket.
-func (p Plan) rootPart() (rate, capacity float64) {
+// rootLimit returns the rate and capacity of the root bucket.
+func (p Plan) rootLimit() (rate, capacity float64) {
 	f := p.floorFraction()
 	return p.Rate * (1 - f), p.Burst * (1 - f)
 }
 
-// floorPart returns the rate and capacity of one slot's floor.
-func (p Plan) floorPart() (rate, capacity float64) {
+// floorLimit returns the rate and capacity of one slot's floor.
+func (p Plan) floorLimit() (rate, capacity float64) {
 	if p.Slots < 1 {
 		return 0, 0
 	}
@@ -50,7 +53,7 @@
 	return p.Rate * f, p.Burst * f
 }
 
-// floorFraction is zero without slots, because a floor needs an exclusive
+// floorFraction is zero without slots, because each floor needs an exclusive
 // holder.
 func (p Plan) floorFraction() float64 {
 	if p.Slots < 1 {
@@ -59,22 +62,22 @@
 	return p.FloorFraction
 }
 
-// Holder names one start of a VM.
+// Holder identifies one incarnation of a VM.
 type Holder struct {
 	// VM is the name of the VM.
 	VM string
-	// Incarnation is its start.
+	// Incarnation distinguishes restarts of the VM.
 	Incarnation uint64
 }
 
-// Report is what a VM tells the root, and asks of it. It lists every
+// Report tells the root what a VM holds and what it needs. It lists every
 // workspace of which the VM holds tokens.
 type Report struct {
 	// Holder is the VM that reports.
 	Holder Holder
-	// Slot names the VM slot, as zone and number.
+	// Slot identifies the VM slot by zone and number.
 	Slot string
-	// Sequence grows with each report, so that a late one is ignored.
+	// Sequence increases with each report, so that a late report is ignored.
 	Sequence uint64
 	// Uptime is how long the VM has been running.
 	Uptime time.Duration
@@ -84,19 +87,20 @@
 
 // ReportItem is the part of a report about one workspace.
 type ReportItem struct {
-	// Workspace names the workspace.
 	Workspace string
-	// Outstanding is what the VM may still spend of earlier grants, together
-	// with what it lent and has not expired.
+	// Outstanding is what the VM may still spend of earlier grants, plus what
+	// it has lent and has not yet expired.
 	Outstanding float64
-	// GivenBack is the unspent part of earlier grants that the VM has dropped.
+	// GivenBack is the unspent part of earlier grants that the VM returns.
 	GivenBack float64
-	// First is what the first waiting request lacks, Need what all lack.
+	// First is what the first waiting request lacks, Need what all waiting
+	// requests lack.
 	First float64
 	Need  float64
-	// Prefetch is what the VM would like to hold for the next requests.
+	// Prefetch is how many more tokens the VM would like to hold for future
+	// requests.
 	Prefetch float64
-	// Returned is what settled requests did not use.
+	// Returned is what settled requests were charged and did not use.
 	Returned float64
 	// ReturnedAge is the age of the oldest admission in Returned.
 	ReturnedAge time.Duration
@@ -104,8 +108,7 @@
 
 // Grant answers one item of a report.
 type Grant struct {
-	// Workspace names the workspace.
 	Workspace string
-	// Tokens are added to the VM's holding.
+	// Tokens are added to those that the VM holds.
 	Tokens float64
 }
--- a/internal/ratelimit/shares.go
+++ b/internal/ratelimit/shares.go
@@ -6,73 +6,79 @@
 	"time"
 )
 
-// Rate shares are the second way to hold a workspace to its rate: a divider on
+// Rate shares are the second way to limit a workspace to its rate. A Divider on
 // the leader of the control log gives every VM a fraction of the rate and
-// burst, and tells it what the others have spent lately.
+// burst, and tells it what the other VMs have spent recently.
 //
-// While all VMs together stay clear of what may be spent within a window, a VM
-// admits any request: requests can be as large as a fraction of the burst, and
-// splitting a small rate would refuse what is within it. Close to the limit each
-// VM runs a token bucket of its fraction. Fractions never add up to more than
-// 1, so a leader change needs no pause. A VM must stop admitting ShareLease
-// after its last confirmed report; the divider gives its fraction to others only
-// after ShareReclaim.
+// While all VMs together stay well below the limit of a window, a VM admits any
+// request: one request can be as large as a VM's fraction of the burst, so
+// splitting a small rate would refuse requests that are within it. Close to the
+// limit, each VM runs a token bucket with its fraction. Fractions never add up
+// to more than 1, so a leader change needs no pause. A VM must stop admitting
+// requests ShareLease after its last confirmed report. The divider gives its
+// fraction to other VMs only after ShareReclaim.
 const (
 	// ShareLease is how long a VM may use a fraction after its report.
 	ShareLease = 4500 * time.Millisecond
-	// ShareReclaim is when the divider takes the fraction of a silent VM back.
-	// It exceeds ShareLease by more than the drift of clocks over that time.
+	// ShareReclaim is how long after its last report a VM loses its fraction.
+	// It exceeds ShareLease by more than clocks drift in that time.
 	ShareReclaim = 5 * time.Second
-	// evenPart is divided evenly, so that a VM without recent demand can
-	// admit the first requests.
-	evenPart = 0.2
-	// newcomerPart is what a VM gets while a new divider does not know yet
-	// what all other VMs use. It is small against the tolerated overshoot.
-	newcomerPart = 0.02
-	// demandHalfLife is how fast the demand of a VM is forgotten.
+	// evenFraction is the part of a rate that is divided evenly, so that a VM
+	// without recent demand can admit its first requests.
+	evenFraction = 0.2
+	// startupFraction is what a VM gets while a new divider does not yet know
+	// what all other VMs use. It is small compared with the tolerated
+	// overshoot.
+	startupFraction = 0.02
+	// demandHalfLife is the half-life of the demand estimate of a VM.
 	demandHalfLife = 2 * time.Second
-	// lookAhead is what others may admit while a request is on its way.
+	// lookAhead is how far ahead the spending of other VMs is estimated. It
+	// covers what they admit while a request is in flight.
 	lookAhead = 150 * time.Millisecond
-	// minReport is the shortest time over which a demand is measured.
-	minReport = 200 * time.Millisecond
-	// freshTime is how long the demand that VMs report counts as unknown after
-	// a divider has started.
-	freshTime = 2 * time.Second
-	// freshFactor is how much more than before may be asked for after a start.
-	freshFactor = 2
-	// blind is the part of a window's limit that all VMs together admit while
-	// they do not know what was spent.
-	blind = 0.05
-	// spendable is the part of a window's limit up to which requests are
-	// admitted without a look at the fractions. The rest covers what VMs spend
+	// minDemandInterval is the shortest interval over which demand is measured.
+	minDemandInterval = 200 * time.Millisecond
+	// warmupTime is how long after the start of a divider the demand that VMs
+	// report counts as incomplete.
+	warmupTime = 2 * time.Second
+	// warmupGrowthFactor limits the demand assumed during the warm-up, as a
+	// multiple of the rate before it.
+	warmupGrowthFactor = 2
+	// unknownSpendingFraction is the fraction of a window's limit that all VMs
+	// together may admit while their total spending is unknown.
+	unknownSpendingFraction = 0.05
+	// softLimitFraction is the fraction of a window's limit below which a VM
+	// admits requests regardless of its share. The rest covers what VMs spend
 	// between two reports.
-	spendable = 0.82
-	// clearAge is how old the divider's answer may be for that. It outlasts a
-	// change of leader.
-	clearAge = 3 * time.Second
-	// exhausted is the part of the limit beyond which nothing is admitted.
-	exhausted = 0.86
-	// RecordInterval is the time between two records of what workspaces have
-	// spent, which the next leader reads. What VMs that all want a multiple of
-	// the rate can spend meanwhile stays below what spendable leaves.
+	softLimitFraction = 0.82
+	// maxGrantAge is how old the divider's answer may be for the total spending
+	// to count as known. It exceeds the duration of a leader change.
+	maxGrantAge = 3 * time.Second
+	// hardLimitFraction is the fraction of a window's limit above which no
+	// request is admitted.
+	hardLimitFraction = 0.86
+	// RecordInterval is the interval at which the leader records what
+	// workspaces have spent, for the next leader. VMs that all ask for a
+	// multiple of the rate spend less in this time than the margin above
+	// softLimitFraction.
 	RecordInterval = 200 * time.Millisecond
-	// minQuotaWait is the shortest time until another attempt makes sense.
-	minQuotaWait = 20 * time.Millisecond
-	// spentSlots divides the window in which spending is counted.
-	spentSlots = 16
+	// minRetryWait is the shortest time after which a retry is useful.
+	minRetryWait = 20 * time.Millisecond
+	// windowSlots is the number of slots in which the spending of a window is
+	// counted.
+	windowSlots = 16
 )
 
-// ShareReport is what a VM says of one workspace.
+// ShareReport is the report of a VM on one workspace.
 type ShareReport struct {
 	// Held is the fraction that the VM uses.
 	Held float64 `json:"held"`
-	// Demand is the tokens per second that callers have asked for.
+	// Demand is the number of tokens per second that callers ask for.
 	Demand float64 `json:"demand"`
 	Spending
 }
 
-// Spending is what was admitted within the last window, and within its later
-// half.
+// Spending is what was admitted within the last window, and within the later
+// half of it.
 type Spending struct {
 	Spent  float64 `json:"spent"`
 	Recent float64 `json:"recent"`
@@ -90,27 +96,28 @@
 type ShareGrant struct {
 	// Fraction is the part of rate and burst that the VM may use.
 	Fraction float64 `json:"fraction"`
-	// Others is what other VMs have spent within the last window, and
-	// OthersDemand what they are asked for per second.
-	Others       float64 `json:"others"`
-	OthersDemand float64 `json:"others_demand"`
-	// Fresh is set while the divider is new: the demand of VMs that have
-	// started with it is not known yet. BeforeRate is then what was spent per
-	// second under the leader before.
-	Fresh      bool    `json:"fresh,omitempty"`
-	BeforeRate float64 `json:"before_rate,omitempty"`
+	// SpentByOthers is what the other VMs have spent within the last window,
+	// DemandOfOthers the number of tokens per second that callers ask them for.
+	SpentByOthers  float64 `json:"others"`
+	DemandOfOthers float64 `json:"others_demand"`
+	// WarmingUp is set while the divider is new and does not know the demand at
+	// all VMs. PreviousRate is then what was spent per second under the
+	// previous leader.
+	WarmingUp    bool    `json:"fresh,omitempty"`
+	PreviousRate float64 `json:"before_rate,omitempty"`
 }
 
-// Overshoot says what is tolerated beyond rate x window + burst within any
+// Overshoot is the tolerated excess over rate x window + burst within any
 // window.
 type Overshoot struct {
 	Window time.Duration
-	// Part is relative, Tokens absolute.
+	// Part is relative to that sum, Tokens is absolute.
 	Part   float64
 	Tokens float64
 }
 
-// Shares admits the requests of one VM. It is safe for concurrent use.
+// Shares admits the requests of one VM by its rate shares. It is safe for
+// concurrent use.
 type Shares struct {
 	overshoot Overshoot
 
@@ -121,23 +128,23 @@
 }
 
 type shareAccount struct {
-	grant   ShareGrant
-	granted time.Duration
-	level   float64
-	at      time.Duration
-	demand  float64
-	asked   time.Duration
-	primed  bool
-	// since is what was admitted after the latest grant.
-	since float64
-	// askedSince is what was asked for after the report at reported.
-	askedSince float64
-	reported   time.Duration
-	spent      [spentSlots]float64
-	slot       int64
+	grant         ShareGrant
+	grantSent     time.Duration
+	level         float64
+	lastRefill    time.Duration
+	demand        float64
+	demandUpdated time.Duration
+	hasGrant      bool
+	// spentSinceGrant is what was admitted after the latest grant.
+	spentSinceGrant float64
+	// demandSinceReport is the number of tokens asked for after lastReport.
+	demandSinceReport float64
+	lastReport        time.Duration
+	spentBySlot       [windowSlots]float64
+	currentSlot       int64
 }
 
-// NewShares returns a VM's accounts without any fraction.
+// NewShares returns the limiter of a VM that has no fraction yet.
 func NewShares(overshoot Overshoot) *Shares {
 	return &Shares{overshoot: overshoot, vms: 1, accounts: make(map[string]*shareAccount)}
 }
@@ -145,153 +152,154 @@
 func (s *Shares) account(workspace string, now time.Duration) *shareAccount {
 	a := s.accounts[workspace]
 	if a == nil {
-		a = &shareAccount{at: now, asked: now}
+		a = &shareAccount{lastRefill: now, demandUpdated: now}
 		s.accounts[workspace] = a
 	}
 	return a
 }
 
-// Admit charges tokens, or returns when another attempt makes sense.
+// Admit charges tokens, or returns the time after which a retry is useful.
 func (s *Shares) Admit(now time.Duration, workspace string, rate, burst, tokens float64) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(workspace, now)
-	a.ask(now, tokens)
+	a.recordDemand(now, tokens)
 	a.refill(now, rate, burst)
-	// What was spent before the window limits nothing any more.
-	a.level = max(a.level, -a.spentNow(now, s.overshoot.Window))
+	// Spending from before the window must not limit requests any more.
+	a.level = max(a.level, -a.spentInWindow(now, s.overshoot.Window))
 	allowance := s.overshoot.Tokens / 2 / float64(s.vms)
-	used, known := s.used(now, a, rate, burst)
-	clear := known && used+tokens/s.limit(rate, burst) <= spendable
+	used, known := s.usedFraction(now, a, rate, burst)
+	belowSoftLimit := known && used+tokens/s.windowLimit(rate, burst) <= softLimitFraction
 	if !known {
-		clear = a.spentNow(now, s.overshoot.Window) <= blind*s.limit(rate, burst)/float64(s.vms)
+		belowSoftLimit = a.spentInWindow(now, s.overshoot.Window) <= unknownSpendingFraction*s.windowLimit(rate, burst)/float64(s.vms)
 	}
-	if !clear && (a.level <= -allowance || known && used > exhausted) {
-		return max(a.due(rate, allowance), s.release(used)), false
+	if !belowSoftLimit && (a.level <= -allowance || known && used > hardLimitFraction) {
+		return max(a.refillWait(rate, allowance), s.windowWait(used)), false
 	}
 	a.level -= tokens
-	a.spend(now, s.overshoot.Window, tokens)
+	a.recordSpent(now, s.overshoot.Window, tokens)
 	return 0, true
 }
 
-// due returns when the bucket will hold enough for another request.
-func (a *shareAccount) due(rate, allowance float64) time.Duration {
+// refillWait returns the time until the bucket admits another request.
+func (a *shareAccount) refillWait(rate, allowance float64) time.Duration {
 	perSecond := rate * a.grant.Fraction
 	if perSecond <= 0 {
 		return time.Second
 	}
-	return time.Duration(max(-a.level-allowance, 0)/perSecond*float64(time.Second)) + minQuotaWait
+	return time.Duration(max(-a.level-allowance, 0)/perSecond*float64(time.Second)) + minRetryWait
 }
 
-// release returns when so much of the window's spending has left it that
-// requests are admitted again, if it was spread evenly.
-func (s *Shares) release(used float64) time.Duration {
-	if used <= exhausted {
+// windowWait returns the time until so much spending has left the window that
+// requests are admitted again, assuming that it was spread evenly.
+func (s *Shares) windowWait(used float64) time.Duration {
+	if used <= hardLimitFraction {
 		return 0
 	}
-	return time.Duration((used - spendable) / used * float64(s.overshoot.Window))
+	return time.Duration((used - softLimitFraction) / used * float64(s.overshoot.Window))
 }
 
-// limit is what all VMs together may spend within a window.
-func (s *Shares) limit(rate, burst float64) float64 {
+// windowLimit returns what all VMs together may spend within a window.
+func (s *Shares) windowLimit(rate, burst float64) float64 {
 	return (rate*s.overshoot.Window.Seconds()+burst)*(1+s.overshoot.Part) + s.overshoot.Tokens
 }
 
-// used returns the part of the limit that all VMs together have spent, as far
-// as that is known.
-func (s *Shares) used(now time.Duration, a *shareAccount, rate, burst float64) (part float64, known bool) {
-	if !a.primed || now-a.granted > clearAge || s.overshoot.Window <= 0 {
+// usedFraction returns the fraction of the window's limit that all VMs together
+// have spent. known is false if that is unknown.
+func (s *Shares) usedFraction(now time.Duration, a *shareAccount, rate, burst float64) (fraction float64, known bool) {
+	if !a.hasGrant || now-a.grantSent > maxGrantAge || s.overshoot.Window <= 0 {
 		return 0, false
 	}
-	growth := a.grant.OthersDemand * (now - a.granted + lookAhead).Seconds()
-	if a.grant.Fresh {
-		others := freshFactor * a.grant.BeforeRate * (now - a.granted + lookAhead).Seconds()
-		growth = max(growth, min(a.since*float64(s.vms-1), others))
+	growth := a.grant.DemandOfOthers * (now - a.grantSent + lookAhead).Seconds()
+	if a.grant.WarmingUp {
+		growthOfOthers := warmupGrowthFactor * a.grant.PreviousRate * (now - a.grantSent + lookAhead).Seconds()
+		growth = max(growth, min(a.spentSinceGrant*float64(s.vms-1), growthOfOthers))
 	}
-	spent := a.spentNow(now, s.overshoot.Window) + a.grant.Others + growth
-	return spent / s.limit(rate, burst), true
+	spent := a.spentInWindow(now, s.overshoot.Window) + a.grant.SpentByOthers + growth
+	return spent / s.windowLimit(rate, burst), true
 }
 
-// spend counts admitted tokens by slots of the window.
-func (a *shareAccount) spend(now, window time.Duration, tokens float64) {
-	a.advance(now, window)
-	a.spent[a.slot%spentSlots] += tokens
-	a.since += tokens
+// recordSpent counts admitted tokens in the current slot of the window.
+func (a *shareAccount) recordSpent(now, window time.Duration, tokens float64) {
+	a.advanceSlots(now, window)
+	a.spentBySlot[a.currentSlot%windowSlots] += tokens
+	a.spentSinceGrant += tokens
 }
 
-func (a *shareAccount) advance(now, window time.Duration) {
+func (a *shareAccount) advanceSlots(now, window time.Duration) {
 	if window <= 0 {
 		return
 	}
-	slot := int64(now / (window / (spentSlots - 1)))
-	for ; a.slot < slot; a.slot++ {
-		if slot-a.slot > spentSlots {
-			a.spent = [spentSlots]float64{}
-			a.slot = slot
+	slot := int64(now / (window / (windowSlots - 1)))
+	for ; a.currentSlot < slot; a.currentSlot++ {
+		if slot-a.currentSlot > windowSlots {
+			a.spentBySlot = [windowSlots]float64{}
+			a.currentSlot = slot
 			return
 		}
-		a.spent[(a.slot+1)%spentSlots] = 0
+		a.spentBySlot[(a.currentSlot+1)%windowSlots] = 0
 	}
 }
 
-// spentNow is at least what was admitted within the window.
-func (a *shareAccount) spentNow(now, window time.Duration) float64 {
-	a.advance(now, window)
+// spentInWindow returns an upper bound of what was admitted within the window.
+func (a *shareAccount) spentInWindow(now, window time.Duration) float64 {
+	a.advanceSlots(now, window)
 	sum := 0.0
-	for _, tokens := range a.spent {
+	for _, tokens := range a.spentBySlot {
 		sum += tokens
 	}
 	return sum
 }
 
-// recent is what was admitted in the later half of the window. The slots have
-// been advanced.
-func (a *shareAccount) recent() float64 {
+// spentInLaterHalf returns what was admitted in the later half of the window.
+// The caller must have advanced the slots.
+func (a *shareAccount) spentInLaterHalf() float64 {
 	sum := 0.0
-	for i := range int64(spentSlots/2 + 1) {
-		sum += a.spent[(a.slot-i+spentSlots)%spentSlots]
+	for i := range int64(windowSlots/2 + 1) {
+		sum += a.spentBySlot[(a.currentSlot-i+windowSlots)%windowSlots]
 	}
 	return sum
 }
 
-// Refund gives back the charge of a request that did not run.
+// Refund reverses the charge of a request that did not run.
 func (s *Shares) Refund(workspace string, tokens float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.accounts[workspace]; a != nil {
 		a.level += tokens
-		a.spent[a.slot%spentSlots] -= tokens
+		a.spentBySlot[a.currentSlot%windowSlots] -= tokens
 	}
 }
 
-func (a *shareAccount) ask(now time.Duration, tokens float64) {
-	a.demand = a.demandNow(now) + tokens
-	a.asked = now
-	a.askedSince += tokens
+func (a *shareAccount) recordDemand(now time.Duration, tokens float64) {
+	a.demand = a.decayedDemand(now) + tokens
+	a.demandUpdated = now
+	a.demandSinceReport += tokens
 }
 
-// demandNow is the decayed sum of what callers have asked for.
-func (a *shareAccount) demandNow(now time.Duration) float64 {
-	return decayed(a.demand, now-a.asked)
+// decayedDemand returns the decayed sum of the tokens that callers asked for.
+func (a *shareAccount) decayedDemand(now time.Duration) float64 {
+	return decayed(a.demand, now-a.demandUpdated)
 }
 
-// perSecond is the demand for a report: the mean over the last seconds, or since
-// the last report if that is more, so that a burst is known at once.
-func (a *shareAccount) perSecond(now time.Duration) float64 {
-	mean := a.demandNow(now) / demandWindow
-	interval := max(now-a.reported, minReport).Seconds()
-	latest := a.askedSince / interval
-	a.askedSince, a.reported = 0, now
+// takeDemandRate returns the demand for a report and starts a new interval. It
+// is the mean over the last seconds, or since the last report if that is
+// higher, so that a burst is reported at once.
+func (a *shareAccount) takeDemandRate(now time.Duration) float64 {
+	mean := a.decayedDemand(now) / demandTimeConstant
+	interval := max(now-a.lastReport, minDemandInterval).Seconds()
+	latest := a.demandSinceReport / interval
+	a.demandSinceReport, a.lastReport = 0, now
 	return max(mean, latest)
 }
 
 func (a *shareAccount) refill(now time.Duration, rate, burst float64) {
-	elapsed := (now - a.at).Seconds()
-	a.at = now
+	elapsed := (now - a.lastRefill).Seconds()
+	a.lastRefill = now
 	a.level = min(a.level+rate*a.grant.Fraction*elapsed, burst*a.grant.Fraction)
 }
 
-// Report returns what the divider must know. Workspaces lists those with a
+// Report returns the report to the divider. workspaces lists those that have a
 // rate.
 func (s *Shares) Report(now time.Duration, workspaces []string) map[string]ShareReport {
 	s.mu.Lock()
@@ -300,16 +308,16 @@
 	for _, name := range workspaces {
 		a := s.account(name, now)
 		reports[name] = ShareReport{
-			Held: a.grant.Fraction, Demand: a.perSecond(now),
-			Spending: Spending{Spent: a.spentNow(now, s.overshoot.Window), Recent: a.recent()},
+			Held: a.grant.Fraction, Demand: a.takeDemandRate(now),
+			Spending: Spending{Spent: a.spentInWindow(now, s.overshoot.Window), Recent: a.spentInLaterHalf()},
 		}
 	}
 	return reports
 }
 
-// Grant takes the divider's answer to the report that was sent at sent. Rates
-// gives the rate and burst of a workspace, at which the bucket was filled so
-// far; vms is the number of VMs that share the rates.
+// Grant applies the divider's answer to the report that was sent at sent. rates
+// returns the rate and burst at which the bucket of a workspace was filled so
+// far. vms is the number of VMs that share the rates.
 func (s *Shares) Grant(now, sent time.Duration, vms int, grants map[string]ShareGrant, rates func(workspace string) (rate, burst float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -318,19 +326,20 @@
 		a := s.account(name, now)
 		rate, burst := rates(name)
 		a.refill(now, rate, burst)
-		if !a.primed {
-			// Enough for a first request at once; the bucket fills from here.
-			a.primed = true
+		if !a.hasGrant {
+			// One token suffices to admit a first request at once; the bucket
+			// fills from here.
+			a.hasGrant = true
 			a.level = max(a.level, 1)
 		}
-		a.grant, a.granted, a.since = grant, sent, 0
+		a.grant, a.grantSent, a.spentSinceGrant = grant, sent, 0
 		a.level = min(a.level, burst*grant.Fraction)
 	}
 }
 
-// demandWindow turns a decayed sum into a rate: the area under the decay, in
-// seconds.
-const demandWindow = float64(demandHalfLife) / float64(time.Second) / math.Ln2
+// demandTimeConstant converts a decayed sum into a rate: it is the area under
+// the decay curve, in seconds.
+const demandTimeConstant = float64(demandHalfLife) / float64(time.Second) / math.Ln2
 
 func decayed(value float64, age time.Duration) float64 {
 	if value == 0 || age <= 0 {
--- a/internal/ratelimit/shares_test.go
+++ b/internal/ratelimit/shares_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// shareFleet is a divider with VMs that lose reports, restart and are cut off.
+// shareFleet simulates a divider and VMs that lose answers, restart and are cut
+// off.
 type shareFleet struct {
 	random  *rand.Rand
 	now     time.Duration
 	divider *Divider
 	vms     []*shareVM
-	// admitted lists the tokens admitted so far with their time.
+	// admitted lists the admitted charges in order of time.
 	admitted []shareCharge
-	// asked and refused count requests at VMs that may admit any.
-	asked, refused int
+	// requests and refused count the requests at VMs whose lease is valid.
+	requests, refused int
 }
 
 type shareCharge struct {
@@ -25,12 +26,12 @@
 }
 
 type shareVM struct {
-	name        string
-	incarnation int64
-	shares      *Shares
-	confirmed   time.Duration
-	cutUntil    time.Duration
-	weight      float64
+	name             string
+	incarnation      int64
+	shares           *Shares
+	lastAnswer       time.Duration
+	partitionedUntil time.Duration
+	weight           float64
 }
 
 const (
@@ -39,12 +40,12 @@
 	testStep  = 50 * time.Millisecond
 )
 
-// testOvershoot is that of the deployments.
+// testOvershoot is the tolerance of the deployments.
 var testOvershoot = Overshoot{Window: 8 * time.Second, Part: 0.1, Tokens: 72_000}
 
-// shareSeeds are the first forty and those that have failed: 58, 144, 148, 220,
-// 231, 265, 340 and 395 overshot when a burst began at once, or when a VM was
-// lost between two reports.
+// shareSeeds returns the first forty seeds and those that have failed: 58, 144,
+// 148, 220, 231, 265, 340 and 395 exceeded the limit when a burst began at
+// once, or when a VM was lost between two reports.
 func shareSeeds() []uint64 {
 	seeds := []uint64{58, 144, 148, 220, 231, 265, 340, 395}
 	for seed := range uint64(40) {
@@ -71,7 +72,7 @@
 		return
 	}
 	v.shares.Grant(f.now, f.now, len(f.vms), granted, func(string) (float64, float64) { return testRate, testBurst })
-	v.confirmed = f.now
+	v.lastAnswer = f.now
 }
 
 func (f *shareFleet) step(demand float64) {
@@ -79,12 +80,12 @@
 	for _, v := range f.vms {
 		switch {
 		case f.random.Float64() < 0.0005:
-			v.shares, v.confirmed = NewShares(testOvershoot), f.now-time.Hour
+			v.shares, v.lastAnswer = NewShares(testOvershoot), f.now-time.Hour
 			v.incarnation++
 		case f.random.Float64() < 0.001:
-			v.cutUntil = f.now + time.Duration(f.random.IntN(8000))*time.Millisecond
+			v.partitionedUntil = f.now + time.Duration(f.random.IntN(8000))*time.Millisecond
 		}
-		if f.now >= v.cutUntil && f.random.Float64() < 0.2 {
+		if f.now >= v.partitionedUntil && f.random.Float64() < 0.2 {
 			f.report(v)
 		}
 		f.arrive(v, demand)
@@ -100,10 +101,10 @@
 		}
 		perStep--
 		tokens := mean * (0.2 + 1.6*f.random.Float64())
-		if f.now-v.confirmed > ShareLease {
+		if f.now-v.lastAnswer > ShareLease {
 			continue
 		}
-		f.asked++
+		f.requests++
 		if _, ok := v.shares.Admit(f.now, "w", testRate, testBurst, tokens); !ok {
 			f.refused++
 		} else {
@@ -112,7 +113,8 @@
 	}
 }
 
-// largestWindow returns the most tokens admitted in any window.
+// largestWindow returns the largest number of tokens admitted within any
+// window.
 func (f *shareFleet) largestWindow(window time.Duration) float64 {
 	sum, most, first := 0.0, 0.0, 0
 	for _, a := range f.admitted {
@@ -127,9 +129,9 @@
 }
 
 // Guards against fractions that add up to more than the rate while VMs restart,
-// are cut off, or lose answers: the stated bound is rate x window + burst, 10%
-// and one request of debt for each VM.
-func TestSharesHoldAWorkspaceThatAsksForFarMoreThanItsRate(t *testing.T) {
+// are cut off or lose answers. The bound is rate x window + burst, plus 10% and
+// one request of debt for each VM.
+func TestSharesLimitWorkspaceFarOverItsRate(t *testing.T) {
 	window := testOvershoot.Window
 	for _, seed := range shareSeeds() {
 		f := newShareFleet(seed, 8)
@@ -138,48 +140,49 @@
 		}
 		limit := (testRate*window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
 		if got := f.largestWindow(window); got > limit {
-			t.Errorf("seed %d: %.0f tokens in %v, limit %.0f", seed, got, window, limit)
+			t.Errorf("seed %d: %.0f tokens admitted in %v, limit %.0f", seed, got, window, limit)
 		}
 	}
 }
 
-// shortWait is the time for which a front VM lets a request wait for its
-// tokens; it is a third of the shortest objective.
-const shortWait = 250 * time.Millisecond
+// maxFrontWait is how long a front VM lets a request wait for tokens: a third
+// of the shortest latency objective.
+const maxFrontWait = 250 * time.Millisecond
 
-// Guards against refusals of a workspace that stays within its rate although
-// its requests arrive unevenly over the VMs.
+// Guards against refusals for a workspace that stays within its rate while its
+// requests arrive unevenly over the VMs.
 func TestSharesFollowUnevenDemandWithinTheRate(t *testing.T) {
 	f := newShareFleet(7, 8)
-	asked, refused := 0, 0
+	requests, refused := 0, 0
 	for i := range 2400 {
 		f.now += testStep
 		for j, v := range f.vms {
 			if i%5 == j%5 {
 				f.report(v)
 			}
-			// One VM has half of the traffic, which totals half of the rate.
+			// One VM gets half of the traffic. The total is half of the rate.
 			perSecond := testRate / 2 / 14
 			if j == 0 {
 				perSecond = testRate / 4
 			}
 			if f.random.Float64() < perSecond/5000*testStep.Seconds() {
-				asked++
+				requests++
 				wait, ok := v.shares.Admit(f.now, "w", testRate, testBurst, 5000)
-				if !ok && wait > shortWait {
+				if !ok && wait > maxFrontWait {
 					refused++
 				}
 			}
 		}
 	}
-	if asked < 500 || refused*100 > asked {
-		t.Errorf("%d of %d requests within the rate were refused", refused, asked)
+	if requests < 500 || refused*100 > requests {
+		t.Errorf("%d of %d requests within the rate were refused", refused, requests)
 	}
 }
 
-// Guards against a new leader that gives out what VMs still hold from the one
-// before: fractions must not add up to more than 1 beyond the newcomers' part.
-func TestNewDividerKeepsWhatVMsHold(t *testing.T) {
+// Guards against a new leader that allocates fractions that VMs still hold from
+// the previous leader. Fractions must not add up to more than 1 plus
+// startupFraction.
+func TestNewLeaderKeepsFractionsInUse(t *testing.T) {
 	now := time.Duration(0)
 	d := NewDivider(now, testOvershoot.Window, nil)
 	held := map[string]float64{"a": 0.5, "b": 0.3}
@@ -189,28 +192,28 @@
 		held["a"] = got["w"].Fraction
 		got = d.Report(now, "c", 1, map[string]ShareReport{"w": {Held: held["c"], Demand: 9}})
 		held["c"] = got["w"].Fraction
-		// b reports for the first time late, still within its lease.
+		// b sends its first report late, but within its lease.
 		if step == 60 {
 			got = d.Report(now, "b", 1, map[string]ShareReport{"w": {Held: held["b"], Demand: 1}})
 			held["b"] = got["w"].Fraction
 		}
-		if sum := held["a"] + held["b"] + held["c"]; sum > 1+newcomerPart {
+		if sum := held["a"] + held["b"] + held["c"]; sum > 1+startupFraction {
 			t.Fatalf("step %d: fractions %v add up to %.3f", step, held, sum)
 		}
 	}
 }
 
-// Guards against refusals of a workspace whose requests are as large as its
-// burst: it asks for half of its rate, and its requests reach 8 VMs at random.
+// Guards against refusals for a workspace whose requests are as large as its
+// burst. It asks for half of its rate, and its requests reach 8 VMs at random.
 func TestSmallWorkspaceWithLargeRequestsIsNotRefusedWithinItsRate(t *testing.T) {
 	const rate, burst, mean = 33_000.0, 43_000.0, 9_000.0
 	f := newShareFleet(11, 8)
-	asked, refused := 0, 0
-	// level is a bucket that sees the requests of all VMs: what it holds is
-	// within the rate.
+	requests, refused := 0, 0
+	// level is a token bucket that sees the requests of all VMs: a request that
+	// it covers is within the rate.
 	level := burst
 	rates := func(string) (float64, float64) { return rate, burst }
-	// A front takes requests only after its first answer.
+	// A front accepts requests only after its first answer from the divider.
 	for _, v := range f.vms {
 		v.shares.Grant(f.now, f.now, len(f.vms), f.divider.Report(f.now, v.name, 0, v.shares.Report(f.now, []string{"w"})), rates)
 	}
@@ -230,35 +233,37 @@
 				continue
 			}
 			level -= tokens
-			asked++
-			if wait, ok := v.shares.Admit(f.now, "w", rate, burst, tokens); !ok && wait > shortWait {
-				t.Logf("%v: %s refuses %.0f tokens for %v", f.now, v.name, tokens, wait)
+			requests++
+			if wait, ok := v.shares.Admit(f.now, "w", rate, burst, tokens); !ok && wait > maxFrontWait {
+				t.Logf("%v: %s refused a request of %.0f tokens, to be retried after %v", f.now, v.name, tokens, wait)
 				refused++
 			}
 		}
 	}
-	if asked < 300 || refused*1000 > asked {
-		t.Errorf("%d of %d requests within the rate were refused", refused, asked)
+	if requests < 300 || refused*1000 > requests {
+		t.Errorf("%d of %d requests within the rate were refused", refused, requests)
 	}
 }
 
-// restartAll kills all VMs and the leader, and brings them back after down.
-func (f *shareFleet) restartAll(down time.Duration) { f.restartFrom(f.divider.Totals(f.now), down) }
+// restartAll kills all VMs and the leader, and restarts them after down. The
+// spending was recorded right before.
+func (f *shareFleet) restartAll(down time.Duration) { f.restartWith(f.divider.Totals(f.now), down) }
 
-// restartFrom does so with what was recorded.
-func (f *shareFleet) restartFrom(before map[string]Spending, down time.Duration) {
+// restartWith does the same with the given record of the spending.
+func (f *shareFleet) restartWith(record map[string]Spending, down time.Duration) {
 	f.now += down
-	f.divider = NewDivider(f.now, testOvershoot.Window, before)
+	f.divider = NewDivider(f.now, testOvershoot.Window, record)
 	for _, v := range f.vms {
-		v.shares, v.confirmed = NewShares(testOvershoot), f.now-time.Hour
+		v.shares, v.lastAnswer = NewShares(testOvershoot), f.now-time.Hour
 		v.incarnation++
 		f.report(v)
 	}
 }
 
 // Guards against a workspace far over its rate that spends its window twice
-// when all processes are killed: what was spent before is known from the log.
-func TestSharesHoldAWorkspaceWhenAllProcessesAreKilled(t *testing.T) {
+// when all processes are killed. The new leader reads the earlier spending from
+// the control log.
+func TestSharesLimitWorkspaceAfterRestartOfAll(t *testing.T) {
 	for _, seed := range shareSeeds() {
 		f := newShareFleet(seed, 8)
 		for step := range 700 {
@@ -269,32 +274,33 @@
 		}
 		limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
 		if got := f.largestWindow(testOvershoot.Window); got > limit {
-			t.Errorf("seed %d: %.0f tokens, limit %.0f", seed, got, limit)
+			t.Errorf("seed %d: %.0f tokens admitted in one window, limit %.0f", seed, got, limit)
 		}
 	}
 }
 
 // Guards against refusals after all processes were killed: 120 requests of
-// workspaces within their rates were refused in the second after a start.
+// workspaces within their rates were refused in the first second after a
+// restart.
 func TestWorkspaceWithinItsRateIsNotRefusedAfterARestartOfAll(t *testing.T) {
 	f := newShareFleet(5, 8)
 	for range 400 {
 		f.step(testRate / 2 / 8)
 	}
 	f.restartAll(800 * time.Millisecond)
-	f.refused, f.asked = 0, 0
+	f.refused, f.requests = 0, 0
 	for range 100 {
 		f.step(testRate / 2 / 8)
 	}
-	if f.asked < 20 || f.refused*20 > f.asked {
-		t.Errorf("%d of %d requests were refused", f.refused, f.asked)
+	if f.requests < 20 || f.refused*20 > f.requests {
+		t.Errorf("%d of %d requests within the rate were refused after the restart", f.refused, f.requests)
 	}
 }
 
 // Guards against a workspace far over its rate that spends its window twice
-// when all processes are killed right before the next record of its spending:
-// the soak saw 117 to 123 requests where 109 are tolerated.
-func TestSharesHoldAWorkspaceWhenTheRecordIsOld(t *testing.T) {
+// when all processes are killed right before the next record of its spending.
+// In the soak test, 117 to 123 requests ran where 109 are tolerated.
+func TestSharesLimitWorkspaceAfterRestartWithOldRecord(t *testing.T) {
 	for _, seed := range shareSeeds() {
 		f := newShareFleet(seed, 8)
 		var record map[string]Spending
@@ -305,12 +311,12 @@
 			}
 			f.step(4 * testRate / 8)
 			if step == kill {
-				f.restartFrom(record, 800*time.Millisecond)
+				f.restartWith(record, 800*time.Millisecond)
 			}
 		}
 		limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
 		if got := f.largestWindow(testOvershoot.Window); got > limit {
-			t.Errorf("seed %d: %.0f tokens, limit %.0f", seed, got, limit)
+			t.Errorf("seed %d: %.0f tokens admitted in one window, limit %.0f", seed, got, limit)
 		}
 	}
 }
--- a/internal/ratelimit/wait_test.go
+++ b/internal/ratelimit/wait_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a Retry-After that is not true: a workspace that had spent the
-// window was told to come back after 20 ms.
+// Guards against a Retry-After that is too short: a workspace that had spent
+// its window was told to retry after 20 ms.
 func TestRefusedRequestIsAdmittedAfterTheStatedWait(t *testing.T) {
 	for _, tokens := range []float64{2_000, 9_000, 40_000} {
 		f := newShareFleet(3, 1)
@@ -17,32 +17,33 @@
 			f.now += 5 * time.Millisecond
 			wait, ok = v.shares.Admit(f.now, "w", testRate, testBurst, tokens)
 			if f.now > time.Minute {
-				t.Fatal("nothing is refused")
+				t.Fatal("no request was refused within a minute")
 			}
 		}
 		if wait < 50*time.Millisecond {
-			t.Errorf("%.0f tokens: a wait of %v is stated after the window was spent", tokens, wait)
+			t.Errorf("%.0f tokens: stated wait is %v after the window was spent, want at least 50ms", tokens, wait)
 		}
 		f.now += wait
 		if again, ok := v.shares.Admit(f.now, "w", testRate, testBurst, tokens); !ok {
-			t.Errorf("%.0f tokens: refused for %v more after the stated %v", tokens, again, wait)
+			t.Errorf("%.0f tokens: refused for another %v after the stated wait of %v", tokens, again, wait)
 		}
 	}
 }
 
-// Guards against a Retry-After that is not true: a VM that had spent nothing
-// itself said 21 ms although the others had spent the window.
+// Guards against a Retry-After that ignores other VMs: a VM that had spent
+// nothing itself answered 21 ms although the other VMs had spent the window.
 func TestWaitCountsWhatOthersHaveSpent(t *testing.T) {
 	s := NewShares(testOvershoot)
 	limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
 	const used = 0.95
-	s.Grant(0, 0, 8, map[string]ShareGrant{"w": {Fraction: 0.1, Others: used * limit}}, func(string) (float64, float64) {
+	s.Grant(0, 0, 8, map[string]ShareGrant{"w": {Fraction: 0.1, SpentByOthers: used * limit}}, func(string) (float64, float64) {
 		return testRate, testBurst
 	})
 	wait, ok := s.Admit(time.Millisecond, "w", testRate, testBurst, 5000)
-	// Spread evenly, the window's spending leaves it at this rate.
-	least := time.Duration((used - exhausted) / used * float64(testOvershoot.Window))
+	// If the spending was spread evenly, enough of it has left the window by
+	// then.
+	least := time.Duration((used - hardLimitFraction) / used * float64(testOvershoot.Window))
 	if ok || wait < least {
-		t.Errorf("admitted %v, wait %v; want a refusal for %v at least", ok, wait, least)
+		t.Errorf("admitted %v, wait %v; want a refusal for at least %v", ok, wait, least)
 	}
 }
