--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -1,6 +1,6 @@
 // Package fairqueue orders the requests that wait for a group of targets, so
-// that no workspace crowds out another. It uses start-time fair queueing over
-// the work of requests and does no I/O.
+// that no workspace starves another. It implements start-time fair queueing
+// over the work of requests and does no I/O.
 package fairqueue
 
 import (
@@ -16,34 +16,35 @@
 )
 
 const (
-	// decodeCost is the work of one generated token in prefill tokens: an
-	// engine that prefills 20,000 tokens a second and generates a token of 32
-	// requests in 41 ms spends 1.3 ms, or 26 prefill tokens, on each.
+	// decodeCost is the work of one generated token, in prefill tokens. An
+	// engine that prefills 20,000 tokens per second and needs 41 ms to generate
+	// one token for each of 32 requests spends 1.3 ms, or 26 prefill tokens, on
+	// each.
 	decodeCost = 26
-	// catalogueShare is the part of the work that catalogue requests get
+	// catalogueShare is the fraction of the work that catalogue requests get
 	// while interactive requests wait too.
 	catalogueShare = 0.1
-	// maxWaitingPerWorkspace bounds the queue of one workspace, so that one
+	// maxWaitingPerWorkspace limits the queue of one workspace, so that one
 	// workspace cannot fill the queue of the group.
 	maxWaitingPerWorkspace = 256
-	// maxWaiting bounds the queue of one group.
+	// maxWaiting limits the queue of one group.
 	maxWaiting = 2048
-	// throughputDecay is the time constant of the throughput estimate.
-	throughputDecay = 5 * time.Second
-	// minThroughputSample is the work that must be done before the estimate
+	// throughputTimeConstant is the time constant of the throughput estimate.
+	throughputTimeConstant = 5 * time.Second
+	// minThroughputSample is the work that must be finished before the estimate
 	// is used to refuse requests.
 	minThroughputSample = 10000
-	// recheck is how often a waiting request looks for capacity that came
-	// from elsewhere, such as a target that joined.
-	recheck = 50 * time.Millisecond
+	// recheckInterval is how often a waiting request checks for capacity that
+	// no released slot has announced, such as that of a target that joined.
+	recheckInterval = 50 * time.Millisecond
 )
 
 // Queue orders the requests of one VM. It implements serving.Queue.
 type Queue struct {
 	// Clock returns the current time.
 	Clock serving.Clock
-	// Capacity returns the limits of a group for this VM, given what is in
-	// flight from it.
+	// Capacity returns the limits of a group for this VM, given what this VM
+	// has in flight there.
 	Capacity func(group string, own Usage) Limits
 
 	mu     sync.Mutex
@@ -52,20 +53,20 @@
 
 // Usage is what one VM has in flight in a group.
 type Usage struct {
-	// InFlight is the number of requests, Prefilling those without a first
-	// token.
+	// InFlight is the number of requests, Prefilling the number of those
+	// without a first token.
 	InFlight   int
 	Prefilling int
 }
 
-// Limits bounds what one VM may have in flight in a group. Zero InFlight means
-// that no target is usable; requests then pass, and routing refuses them.
+// Limits limits what one VM may have in flight in a group. InFlight is zero if
+// no target is usable; requests then pass the queue, and routing refuses them.
 type Limits struct {
-	// InFlight bounds the requests.
+	// InFlight limits the requests.
 	InFlight int
-	// Prefilling bounds the requests without a first token. An engine
-	// prefills one prompt after the other, so more of them only queue there,
-	// where neither fairness nor routing reaches them.
+	// Prefilling limits the requests without a first token. An engine prefills
+	// prompts one at a time, so more of them would only wait inside the engine,
+	// where neither fair queueing nor routing applies.
 	Prefilling int
 }
 
@@ -75,26 +76,26 @@
 
 // group holds the requests for one model or service.
 type group struct {
-	virtual    float64
-	flows      map[string]*flow
-	waiting    []*entry
-	usage      Usage
-	debt       float64
-	throughput throughput
+	virtualTime     float64
+	flows           map[string]*flow
+	waiting         []*entry
+	usage           Usage
+	catalogueCredit float64
+	throughput      throughput
 }
 
 // flow is the state of one workspace in one group.
 type flow struct {
-	finish  float64
-	waiting int
-	running int
+	finishTag float64
+	waiting   int
+	running   int
 }
 
 type entry struct {
 	flow      *flow
 	workspace string
 	catalogue bool
-	start     float64
+	startTag  float64
 	cost      float64
 	weight    float64
 	deadline  time.Time
@@ -102,7 +103,7 @@
 	admitted  bool
 }
 
-// Cost returns the work of a request in prefill tokens.
+// Cost returns the work of a request, in prefill tokens.
 func Cost(prefillTokens, decodeTokens int) float64 {
 	return math.Max(1, float64(prefillTokens)+decodeCost*float64(decodeTokens))
 }
@@ -111,7 +112,7 @@
 func (q *Queue) Acquire(ctx context.Context, req serving.QueueRequest) (serving.Slot, *serving.Refusal) {
 	q.mu.Lock()
 	g := q.group(req.Group)
-	if refusal := g.refuse(q.Clock(), req); refusal != nil {
+	if refusal := g.refuseEarly(q.Clock(), req); refusal != nil {
 		q.mu.Unlock()
 		return nil, refusal
 	}
@@ -119,17 +120,17 @@
 	q.dispatch(req.Group, g)
 	q.mu.Unlock()
 	if !q.wait(ctx, req.Group, g, e) {
-		return nil, refuse("queue_timeout", "the request waited too long for a target", time.Second)
+		return nil, newRefusal("queue_timeout", "the request waited too long for a target", time.Second)
 	}
-	return &slot{queue: q, name: req.Group, group: g, entry: e}, nil
+	return &slot{queue: q, groupName: req.Group, group: g, entry: e}, nil
 }
 
 // slot implements serving.Slot.
 type slot struct {
-	queue *Queue
-	name  string
-	group *group
-	entry *entry
+	queue     *Queue
+	groupName string
+	group     *group
+	entry     *entry
 	// prefilled and released are guarded by the mutex of the queue.
 	prefilled bool
 	released  bool
@@ -140,7 +141,7 @@
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
 	s.endPrefill()
-	s.queue.dispatch(s.name, s.group)
+	s.queue.dispatch(s.groupName, s.group)
 }
 
 // Release implements serving.Slot.
@@ -152,7 +153,7 @@
 	}
 	s.released = true
 	s.endPrefill()
-	s.queue.release(s.name, s.group, s.entry, Cost(prefillTokens, decodeTokens))
+	s.queue.release(s.groupName, s.group, s.entry, Cost(prefillTokens, decodeTokens))
 }
 
 func (s *slot) endPrefill() {
@@ -163,35 +164,36 @@
 }
 
 // Waiting returns the number of waiting requests of a group.
-func (q *Queue) Waiting(name string) int {
+func (q *Queue) Waiting(groupName string) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if g, ok := q.groups[name]; ok {
+	if g, ok := q.groups[groupName]; ok {
 		return len(g.waiting)
 	}
 	return 0
 }
 
-func (q *Queue) group(name string) *group {
+func (q *Queue) group(groupName string) *group {
 	if q.groups == nil {
 		q.groups = make(map[string]*group)
 	}
-	g, ok := q.groups[name]
+	g, ok := q.groups[groupName]
 	if !ok {
 		g = &group{flows: make(map[string]*flow)}
-		q.groups[name] = g
+		q.groups[groupName] = g
 	}
 	return g
 }
 
-// wait reports whether e got its turn before its deadline.
-func (q *Queue) wait(ctx context.Context, name string, g *group, e *entry) bool {
+// wait reports whether e was admitted before its deadline and before ctx was
+// done.
+func (q *Queue) wait(ctx context.Context, groupName string, g *group, e *entry) bool {
 	select {
 	case <-e.ready:
 		return true
 	default:
 	}
-	ticker := time.NewTicker(recheck)
+	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -204,14 +206,14 @@
 				return !q.abandon(g, e)
 			}
 			q.mu.Lock()
-			q.dispatch(name, g)
+			q.dispatch(groupName, g)
 			q.mu.Unlock()
 		}
 	}
 }
 
-// abandon removes a waiting request. It reports false if the request got its
-// turn in the meantime.
+// abandon removes a waiting request. It returns false if the request was
+// admitted in the meantime.
 func (q *Queue) abandon(g *group, e *entry) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -221,32 +223,32 @@
 	g.waiting = slices.DeleteFunc(g.waiting, func(other *entry) bool { return other == e })
 	e.flow.waiting--
 	// The work was not done, so it must not count against the workspace.
-	e.flow.finish -= e.cost / e.weight
-	g.forget(e)
+	e.flow.finishTag -= e.cost / e.weight
+	g.dropIdleFlow(e)
 	return true
 }
 
-// release is called with the mutex held.
-func (q *Queue) release(name string, g *group, e *entry, cost float64) {
+// release must be called with the mutex held.
+func (q *Queue) release(groupName string, g *group, e *entry, cost float64) {
 	g.usage.InFlight--
 	e.flow.running--
-	e.flow.finish += (cost - e.cost) / e.weight
+	e.flow.finishTag += (cost - e.cost) / e.weight
 	g.throughput.add(q.Clock(), cost)
-	g.forget(e)
-	q.dispatch(name, g)
+	g.dropIdleFlow(e)
+	q.dispatch(groupName, g)
 }
 
-// dispatch lets requests go while there is capacity.
-func (q *Queue) dispatch(name string, g *group) {
+// dispatch admits waiting requests while there is capacity.
+func (q *Queue) dispatch(groupName string, g *group) {
 	for len(g.waiting) > 0 {
-		if !q.Capacity(name, g.usage).allow(g.usage) {
+		if !q.Capacity(groupName, g.usage).allow(g.usage) {
 			return
 		}
 		g.admit(g.next())
 	}
 }
 
-// add queues a request behind the earlier work of its workspace.
+// add queues a request behind the earlier requests of its workspace.
 func (g *group) add(req serving.QueueRequest) *entry {
 	f, ok := g.flows[req.Workspace]
 	if !ok {
@@ -257,40 +259,40 @@
 		flow:      f,
 		workspace: req.Workspace,
 		catalogue: req.Class == config.ClassCatalogue,
-		start:     max(g.virtual, f.finish),
+		startTag:  max(g.virtualTime, f.finishTag),
 		cost:      Cost(req.PrefillTokens, req.DecodeTokens),
 		weight:    max(req.Weight, 1e-3),
 		deadline:  req.Deadline,
 		ready:     make(chan struct{}),
 	}
-	f.finish = e.start + e.cost/e.weight
+	f.finishTag = e.startTag + e.cost/e.weight
 	f.waiting++
 	g.waiting = append(g.waiting, e)
 	return e
 }
 
-// next returns the index of the request that goes next: interactive before
-// catalogue, unless catalogue has earned its share; the lowest start tag
-// within a class.
+// next returns the index of the request to admit next: the lowest start tag of
+// the interactive class, or of the catalogue class if no interactive request
+// waits or if the catalogue credit covers its cost.
 func (g *group) next() int {
-	interactive := g.lowest(false)
-	catalogue := g.lowest(true)
+	interactive := g.lowestStartTag(false)
+	catalogue := g.lowestStartTag(true)
 	if interactive < 0 {
 		return catalogue
 	}
 	if catalogue < 0 {
 		return interactive
 	}
-	if g.debt >= g.waiting[catalogue].cost {
+	if g.catalogueCredit >= g.waiting[catalogue].cost {
 		return catalogue
 	}
 	return interactive
 }
 
-func (g *group) lowest(catalogue bool) int {
+func (g *group) lowestStartTag(catalogue bool) int {
 	best := -1
 	for i, e := range g.waiting {
-		if e.catalogue == catalogue && (best < 0 || e.start < g.waiting[best].start) {
+		if e.catalogue == catalogue && (best < 0 || e.startTag < g.waiting[best].startTag) {
 			best = i
 		}
 	}
@@ -300,8 +302,8 @@
 func (g *group) admit(i int) {
 	e := g.waiting[i]
 	g.waiting = slices.Delete(g.waiting, i, i+1)
-	g.account(e)
-	g.virtual = max(g.virtual, e.start)
+	g.updateCatalogueCredit(e)
+	g.virtualTime = max(g.virtualTime, e.startTag)
 	g.usage.InFlight++
 	g.usage.Prefilling++
 	e.flow.waiting--
@@ -310,61 +312,63 @@
 	close(e.ready)
 }
 
-// account keeps the share of catalogue requests. Debt grows only while they
-// wait, so that an idle class does not save up work.
-func (g *group) account(e *entry) {
+// updateCatalogueCredit accounts for an admitted request. Credit grows only
+// while catalogue requests wait, so that an idle class does not accumulate it.
+func (g *group) updateCatalogueCredit(e *entry) {
 	switch {
 	case e.catalogue:
-		g.debt = max(0, g.debt-e.cost)
-	case g.lowest(true) >= 0:
-		g.debt += e.cost * catalogueShare
+		g.catalogueCredit = max(0, g.catalogueCredit-e.cost)
+	case g.lowestStartTag(true) >= 0:
+		g.catalogueCredit += e.cost * catalogueShare
 	}
 }
 
-// forget drops a flow that is idle and owes nothing.
-func (g *group) forget(e *entry) {
+// dropIdleFlow deletes the flow of e if it is idle and its finish tag has been
+// reached.
+func (g *group) dropIdleFlow(e *entry) {
 	f := e.flow
-	if f.waiting == 0 && f.running == 0 && f.finish <= g.virtual {
+	if f.waiting == 0 && f.running == 0 && f.finishTag <= g.virtualTime {
 		delete(g.flows, e.workspace)
 	}
 }
 
-// refuse decides early about a request that cannot be served in time.
-func (g *group) refuse(now time.Time, req serving.QueueRequest) *serving.Refusal {
+// refuseEarly refuses a request if the queue is full or if the request cannot
+// start before its deadline. Otherwise it returns nil.
+func (g *group) refuseEarly(now time.Time, req serving.QueueRequest) *serving.Refusal {
 	if len(g.waiting) >= maxWaiting {
-		return refuse("queue_full", "too many requests wait for this group of targets", time.Second)
+		return newRefusal("queue_full", "too many requests wait for this group of targets", time.Second)
 	}
 	if f, ok := g.flows[req.Workspace]; ok && f.waiting >= maxWaitingPerWorkspace {
-		return refuse("queue_full", "too many requests of the workspace are waiting", time.Second)
+		return newRefusal("queue_full", "too many requests of the workspace are waiting", time.Second)
 	}
 	wait := g.expectedWait(now, req)
 	if now.Add(wait).After(req.Deadline) {
-		return refuse("deadline_unreachable", "the request cannot start before its deadline", wait)
+		return newRefusal("deadline_unreachable", "the request cannot start before its deadline", wait)
 	}
 	return nil
 }
 
-// expectedWait is the time until the work ahead of the request is done.
+// expectedWait estimates the time until the work ahead of the request is done.
 func (g *group) expectedWait(now time.Time, req serving.QueueRequest) time.Duration {
 	rate, ok := g.throughput.perSecond(now)
 	if !ok || len(g.waiting) == 0 {
 		return 0
 	}
-	start := g.virtual
+	startTag := g.virtualTime
 	if f, known := g.flows[req.Workspace]; known {
-		start = max(start, f.finish)
+		startTag = max(startTag, f.finishTag)
 	}
 	catalogue := req.Class == config.ClassCatalogue
 	ahead := 0.0
 	for _, e := range g.waiting {
-		if (e.start <= start && e.catalogue == catalogue) || (catalogue && !e.catalogue) {
+		if (e.startTag <= startTag && e.catalogue == catalogue) || (catalogue && !e.catalogue) {
 			ahead += e.cost
 		}
 	}
 	return time.Duration(ahead / rate * float64(time.Second))
 }
 
-func refuse(code, message string, retryAfter time.Duration) *serving.Refusal {
+func newRefusal(code, message string, retryAfter time.Duration) *serving.Refusal {
 	return &serving.Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       code,
--- a/internal/fairqueue/throughput.go
+++ b/internal/fairqueue/throughput.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// throughput estimates the work finished per second with exponential decay.
+// throughput estimates the finished work per second, with exponential decay.
 type throughput struct {
-	work  float64
-	total float64
-	since time.Time
-	at    time.Time
+	decayedWork float64
+	totalWork   float64
+	firstAdd    time.Time
+	lastDecay   time.Time
 }
 
 func (t *throughput) add(now time.Time, cost float64) {
-	if t.since.IsZero() {
-		t.since = now
+	if t.firstAdd.IsZero() {
+		t.firstAdd = now
 	}
 	t.decay(now)
-	t.work += cost
-	t.total += cost
+	t.decayedWork += cost
+	t.totalWork += cost
 }
 
-// perSecond reports false while too little work has been seen. The decaying
-// sum approaches rate x time constant, so a young estimate is scaled up.
+// perSecond returns false until enough work has been finished. The decaying sum
+// approaches rate x time constant over time, so an estimate from a short period
+// is scaled up.
 func (t *throughput) perSecond(now time.Time) (float64, bool) {
 	t.decay(now)
-	age := now.Sub(t.since)
-	if t.total < minThroughputSample || age < throughputDecay/10 {
+	age := now.Sub(t.firstAdd)
+	if t.totalWork < minThroughputSample || age < throughputTimeConstant/10 {
 		return 0, false
 	}
-	window := throughputDecay.Seconds() * (1 - math.Exp(-age.Seconds()/throughputDecay.Seconds()))
-	rate := t.work / window
+	window := throughputTimeConstant.Seconds() * (1 - math.Exp(-age.Seconds()/throughputTimeConstant.Seconds()))
+	rate := t.decayedWork / window
 	return rate, rate > 0
 }
 
 func (t *throughput) decay(now time.Time) {
-	elapsed := now.Sub(t.at)
+	elapsed := now.Sub(t.lastDecay)
 	if elapsed <= 0 {
 		return
 	}
-	if !t.at.IsZero() {
-		t.work *= math.Exp(-elapsed.Seconds() / throughputDecay.Seconds())
+	if !t.lastDecay.IsZero() {
+		t.decayedWork *= math.Exp(-elapsed.Seconds() / throughputTimeConstant.Seconds())
 	}
-	t.at = now
+	t.lastDecay = now
 }
