--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,19 +1,20 @@
-// Package retry bounds what failing targets cost: budgets of extra attempts,
-// circuit breakers with a slow return, and detection of slow outliers. The
+// Package retry limits the cost of failing targets: budgets for extra attempts,
+// circuit breakers with a slow start, and detection of slow outliers. The
 // package does no I/O.
 package retry
 
 import "sync"
 
 const (
-	// extraPerFinished is the share of extra attempts in steady state. The
-	// requirement is under 10%.
-	extraPerFinished = 0.08
-	// startBudget lets a VM that has just started resume the streams of an
-	// engine.
-	startBudget = 10
-	// maxBudget bounds the extra attempts at the start of an outage. It
-	// covers the streams of one workspace on one engine.
+	// refillPerFinished is what each finished request adds to a budget, and so
+	// the share of extra attempts in steady state. The requirement is under
+	// 10%.
+	refillPerFinished = 0.08
+	// initialBudget allows a VM that has just started to resume the streams of
+	// one engine.
+	initialBudget = 10
+	// maxBudget limits the extra attempts at the start of an outage. It covers
+	// the streams of one workspace on one engine.
 	maxBudget = 32
 )
 
@@ -21,25 +22,25 @@
 
 // Budgets limits extra attempts per workspace and target group. It implements
 // serving.RetryPolicy and is safe for concurrent use. Only finished requests
-// refill a budget, so that in a full outage it runs dry and stays dry.
+// refill a budget, so in a full outage it is used up and stays empty.
 type Budgets struct {
-	mu   sync.Mutex
-	left map[budgetKey]float64
+	mu        sync.Mutex
+	remaining map[budgetKey]float64
 }
 
-// NewBudgets returns full starting budgets.
-func NewBudgets() *Budgets { return &Budgets{left: make(map[budgetKey]float64)} }
+// NewBudgets returns budgets that start at initialBudget.
+func NewBudgets() *Budgets { return &Budgets{remaining: make(map[budgetKey]float64)} }
 
 // Allow implements serving.RetryPolicy.
 func (b *Budgets) Allow(workspace, group string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := budgetKey{workspace, group}
-	left := b.get(key)
+	left := b.remainingOf(key)
 	if left < 1 {
 		return false
 	}
-	b.left[key] = left - 1
+	b.remaining[key] = left - 1
 	return true
 }
 
@@ -48,12 +49,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := budgetKey{workspace, group}
-	b.left[key] = min(b.get(key)+extraPerFinished, maxBudget)
+	b.remaining[key] = min(b.remainingOf(key)+refillPerFinished, maxBudget)
 }
 
-func (b *Budgets) get(key budgetKey) float64 {
-	if left, ok := b.left[key]; ok {
+func (b *Budgets) remainingOf(key budgetKey) float64 {
+	if left, ok := b.remaining[key]; ok {
 		return left
 	}
-	return startBudget
+	return initialBudget
 }
--- a/internal/retry/health.go
+++ b/internal/retry/health.go
@@ -13,81 +13,88 @@
 )
 
 const (
-	// dialFailures in a row open a breaker: nothing listens there.
-	dialFailures = 2
-	// failuresInRow open a breaker; single failures are left to the retries.
-	failuresInRow = 5
-	// firstOpen and maxOpen bound how long a breaker stays open.
-	firstOpen = time.Second
-	maxOpen   = 30 * time.Second
-	// slowReturn is how long a target that came back gets less work, so that
-	// its empty cache is not flooded.
-	slowReturn = 10 * time.Second
-	// returnPenalty is added to the expected time to first token at the start
-	// of the slow return and shrinks to zero.
-	returnPenalty = 500 * time.Millisecond
-	// outlierFactor times the median of its peers makes a target an outlier.
+	// dialFailureThreshold is the number of consecutive failed dials that opens
+	// a breaker. Two are enough, because a failed dial means that nothing
+	// listens there.
+	dialFailureThreshold = 2
+	// failureThreshold is the number of consecutive failures that opens a
+	// breaker. Retries handle single failures.
+	failureThreshold = 5
+	// initialOpenTime and maxOpenTime limit how long a breaker stays open.
+	initialOpenTime = time.Second
+	maxOpenTime     = 30 * time.Second
+	// slowStartTime is how long a recovered target gets less work, so that its
+	// empty cache is not overloaded.
+	slowStartTime = 10 * time.Second
+	// slowStartPenalty is added to the expected time to first token at the
+	// beginning of the slow start. It decreases to zero over slowStartTime.
+	slowStartPenalty = 500 * time.Millisecond
+	// outlierFactor is the multiple of the median of its peers from which a
+	// target counts as an outlier.
 	outlierFactor = 3
-	// minOutlier keeps differences below human notice from counting.
-	minOutlier = 100 * time.Millisecond
-	// minSamples and minPeers are needed before a target is judged by speed.
+	// minOutlierDelay excludes differences that people do not notice.
+	minOutlierDelay = 100 * time.Millisecond
+	// minSamples and minPeers are required before a target is judged by its
+	// speed.
 	minSamples = 10
 	minPeers   = 3
-	// medianAge bounds how old the median of the peers may be.
-	medianAge = time.Second
-	// smoothing is the weight of a new sample in the moving average.
-	smoothing = 0.1
-	// forgetAfter drops targets that got no work for long.
-	forgetAfter = 10 * time.Minute
+	// medianRefreshInterval limits the age of the median of the peers.
+	medianRefreshInterval = time.Second
+	// averageWeight is the weight of a new sample in the moving average.
+	averageWeight = 0.1
+	// idleTargetTimeout is how long a target gets no requests before its state
+	// is deleted.
+	idleTargetTimeout = 10 * time.Minute
 )
 
-// Health follows the targets as this VM sees them: one circuit breaker for
-// each, and the moving average of its time to first token. It is safe for
+// Health tracks the targets as this VM sees them: a circuit breaker and the
+// moving average of the time to first token for each target. It is safe for
 // concurrent use.
 type Health struct {
 	clock serving.Clock
 
-	mu      sync.Mutex
-	targets map[string]*state
-	swept   time.Time
-	// medians of the time to first token by group, as of mediansAt.
-	medians   map[string]time.Duration
-	mediansAt time.Time
+	mu        sync.Mutex
+	targets   map[string]*targetState
+	lastSweep time.Time
+	// medians are the medians of the time to first token by group, computed at
+	// mediansUpdated.
+	medians        map[string]time.Duration
+	mediansUpdated time.Time
 }
 
-// state is what is known of one target.
-type state struct {
-	incarnation uint64
-	group       string
-	failures    int
-	dialErrors  int
-	openFor     time.Duration
-	openUntil   time.Time
-	probing     bool
-	returned    time.Time
-	samples     int
-	average     time.Duration
-	used        time.Time
+// targetState is what is known about one target.
+type targetState struct {
+	incarnation         uint64
+	group               string
+	consecutiveFailures int
+	dialFailures        int
+	openTime            time.Duration
+	openUntil           time.Time
+	probing             bool
+	recovered           time.Time
+	samples             int
+	averageFirstToken   time.Duration
+	lastUsed            time.Time
 }
 
-// NewHealth returns a Health that takes every target for good.
+// NewHealth returns a Health that considers every target healthy.
 func NewHealth(clock serving.Clock) *Health {
-	return &Health{clock: clock, targets: make(map[string]*state)}
+	return &Health{clock: clock, targets: make(map[string]*targetState)}
 }
 
-// Usable reports whether a request may be sent to ref. After the breaker's
-// time one request at a time may probe it.
+// Usable reports whether a request may be sent to ref. When the open time of a
+// breaker has passed, one request at a time may probe the target.
 func (h *Health) Usable(ref target.Ref) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, ok := h.targets[ref.ID]
-	if !ok || s.incarnation != ref.Incarnation || s.openFor == 0 {
+	if !ok || s.incarnation != ref.Incarnation || s.openTime == 0 {
 		return true
 	}
 	return !s.probing && !h.clock().Before(s.openUntil)
 }
 
-// Penalty returns what to add to the expected time to first token at ref.
+// Penalty returns the time to add to the expected time to first token at ref.
 func (h *Health) Penalty(ref target.Ref) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,62 +102,64 @@
 	if !ok || s.incarnation != ref.Incarnation {
 		return 0
 	}
-	penalty := h.slow(s)
-	if since := h.clock().Sub(s.returned); !s.returned.IsZero() && since < slowReturn {
-		penalty += time.Duration(float64(returnPenalty) * (1 - float64(since)/float64(slowReturn)))
+	penalty := h.outlierDelay(s)
+	if since := h.clock().Sub(s.recovered); !s.recovered.IsZero() && since < slowStartTime {
+		penalty += time.Duration(float64(slowStartPenalty) * (1 - float64(since)/float64(slowStartTime)))
 	}
 	return penalty
 }
 
-// slow returns how much longer an outlier takes than its peers.
-func (h *Health) slow(s *state) time.Duration {
+// outlierDelay returns how much longer an outlier takes than the median of its
+// peers. It is zero for other targets.
+func (h *Health) outlierDelay(s *targetState) time.Duration {
 	if s.samples < minSamples {
 		return 0
 	}
 	h.refreshMedians()
 	median, known := h.medians[s.group]
-	if !known || s.average < outlierFactor*median || s.average-median < minOutlier {
+	if !known || s.averageFirstToken < outlierFactor*median || s.averageFirstToken-median < minOutlierDelay {
 		return 0
 	}
-	return s.average - median
+	return s.averageFirstToken - median
 }
 
-// refreshMedians computes the median of each group once in a while: routing
-// asks for the penalty of every target many times a second.
+// refreshMedians computes the median of each group at most once per
+// medianRefreshInterval, because routing asks for the penalty of every target
+// many times per second.
 func (h *Health) refreshMedians() {
 	now := h.clock()
-	if h.medians != nil && now.Sub(h.mediansAt) < medianAge {
+	if h.medians != nil && now.Sub(h.mediansUpdated) < medianRefreshInterval {
 		return
 	}
-	h.mediansAt = now
+	h.mediansUpdated = now
 	averages := make(map[string][]time.Duration)
 	for _, s := range h.targets {
 		if s.samples >= minSamples {
-			averages[s.group] = append(averages[s.group], s.average)
+			averages[s.group] = append(averages[s.group], s.averageFirstToken)
 		}
 	}
 	h.medians = make(map[string]time.Duration)
-	for group, list := range averages {
-		if len(list) <= minPeers {
+	for group, sorted := range averages {
+		if len(sorted) <= minPeers {
 			continue
 		}
-		slices.Sort(list)
-		h.medians[group] = list[len(list)/2]
+		slices.Sort(sorted)
+		h.medians[group] = sorted[len(sorted)/2]
 	}
 }
 
-// Begin notes that a request goes to t.
+// Begin records that a request is sent to t.
 func (h *Health) Begin(t *target.Target) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.get(t)
-	s.used = h.clock()
-	if s.openFor > 0 {
+	s := h.stateOf(t)
+	s.lastUsed = h.clock()
+	if s.openTime > 0 {
 		s.probing = true
 	}
 }
 
-// End notes the result of a request that Begin announced.
+// End records the result of a request for which Begin was called.
 func (h *Health) End(t *target.Target, result serving.AttemptResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,96 +168,96 @@
 		return
 	}
 	s.probing = false
-	switch judge(result.Err) {
-	case good:
-		h.succeeded(s, result.FirstToken)
-	case bad:
-		h.failed(s, result.Err)
+	switch classify(result.Err) {
+	case outcomeSuccess:
+		h.recordSuccess(s, result.FirstToken)
+	case outcomeFailure:
+		h.recordFailure(s, result.Err)
 	}
 }
 
-func (h *Health) get(t *target.Target) *state {
-	h.sweep()
+func (h *Health) stateOf(t *target.Target) *targetState {
+	h.dropIdleTargets()
 	s, ok := h.targets[t.ID]
 	if ok && s.incarnation == t.Incarnation {
 		return s
 	}
-	s = &state{incarnation: t.Incarnation, group: t.Model + t.Service}
+	s = &targetState{incarnation: t.Incarnation, group: t.Model + t.Service}
 	if ok {
 		// A new incarnation of a known target has an empty cache.
-		s.returned = h.clock()
+		s.recovered = h.clock()
 	}
 	h.targets[t.ID] = s
 	return s
 }
 
-func (h *Health) sweep() {
+func (h *Health) dropIdleTargets() {
 	now := h.clock()
-	if now.Sub(h.swept) < forgetAfter {
+	if now.Sub(h.lastSweep) < idleTargetTimeout {
 		return
 	}
-	h.swept = now
+	h.lastSweep = now
 	for id, s := range h.targets {
-		if now.Sub(s.used) >= forgetAfter {
+		if now.Sub(s.lastUsed) >= idleTargetTimeout {
 			delete(h.targets, id)
 		}
 	}
 }
 
-func (h *Health) succeeded(s *state, first time.Duration) {
-	if s.openFor > 0 {
-		s.returned = h.clock()
+func (h *Health) recordSuccess(s *targetState, firstToken time.Duration) {
+	if s.openTime > 0 {
+		s.recovered = h.clock()
 	}
-	s.failures, s.dialErrors, s.openFor = 0, 0, 0
-	if first <= 0 {
+	s.consecutiveFailures, s.dialFailures, s.openTime = 0, 0, 0
+	if firstToken <= 0 {
 		return
 	}
 	s.samples++
 	if s.samples == 1 {
-		s.average = first
+		s.averageFirstToken = firstToken
 		return
 	}
-	s.average += time.Duration(smoothing * float64(first-s.average))
+	s.averageFirstToken += time.Duration(averageWeight * float64(firstToken-s.averageFirstToken))
 }
 
-func (h *Health) failed(s *state, err error) {
-	s.failures++
+func (h *Health) recordFailure(s *targetState, err error) {
+	s.consecutiveFailures++
 	var dial *serving.DialError
 	if errors.As(err, &dial) {
-		s.dialErrors++
+		s.dialFailures++
 	}
-	if s.openFor == 0 && s.failures < failuresInRow && s.dialErrors < dialFailures {
+	if s.openTime == 0 && s.consecutiveFailures < failureThreshold && s.dialFailures < dialFailureThreshold {
 		return
 	}
-	s.openFor = min(max(2*s.openFor, firstOpen), maxOpen)
-	s.openUntil = h.clock().Add(s.openFor)
+	s.openTime = min(max(2*s.openTime, initialOpenTime), maxOpenTime)
+	s.openUntil = h.clock().Add(s.openTime)
 }
 
-// verdict is what a result says about its target.
-type verdict int
+// outcome is what the result of an attempt says about its target.
+type outcome int
 
 const (
-	good verdict = iota
-	bad
-	nothing
+	outcomeSuccess outcome = iota
+	outcomeFailure
+	outcomeNeutral
 )
 
-func judge(err error) verdict {
+func classify(err error) outcome {
 	var status *serving.StatusError
 	var refusal *serving.Refusal
 	switch {
 	case err == nil:
-		return good
+		return outcomeSuccess
 	case errors.As(err, &refusal):
-		// The body of the caller was at fault.
-		return nothing
+		// The caller's request body was at fault.
+		return outcomeNeutral
 	case errors.Is(err, serving.ErrAbandoned), errors.Is(err, context.Canceled):
-		return nothing
+		return outcomeNeutral
 	case errors.Is(err, serving.ErrCallerGone), errors.Is(err, context.DeadlineExceeded):
-		return nothing
+		return outcomeNeutral
 	case errors.As(err, &status) && status.Status < 500:
-		// The target works: it refuses this request, or new work for now.
-		return nothing
+		// The target works: it refuses this request, or new requests for now.
+		return outcomeNeutral
 	}
-	return bad
+	return outcomeFailure
 }
