--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -1,6 +1,6 @@
-// Package usage bills requests: each VM adds up what it served and hands the
-// sums to the control log in numbered batches, which count exactly once. The
-// package does no I/O.
+// Package usage counts usage for billing. Each VM adds up what it served and
+// sends the totals to the control log in numbered batches, each of which is
+// counted exactly once. The package does no I/O.
 package usage
 
 import (
@@ -18,31 +18,31 @@
 )
 
 const (
-	// FlushInterval is how often a batch is sent. A crash loses what was not
-	// sent, and at most 1 s of records may be lost.
+	// FlushInterval is how often batches are sent. A crash loses what has not
+	// been sent, and at most 1 s of records may be lost.
 	FlushInterval = 500 * time.Millisecond
-	// maxBatchTotals bounds a batch to about 100 KB.
+	// maxBatchTotals limits a batch to about 100 KB.
 	maxBatchTotals = 1000
-	// maxPendingTotals bounds the memory while the log is out of reach, to
-	// about 5 MB. Beyond it, later hours are added to the last hour held of
+	// maxPendingTotals limits the memory to about 5 MB while the control log is
+	// unreachable. Beyond it, later hours are added to the last pending hour of
 	// the same workspace and model.
 	maxPendingTotals = 20000
 )
 
-// key names one sum. Hours is the length of the period.
-type key struct {
+// totalKey identifies one total. hours is the length of its period.
+type totalKey struct {
 	workspace string
 	model     string
 	hour      int64
 	hours     uint32
 }
 
-// sums are the counts of one key.
-type sums struct {
+// counts is the usage counted for one totalKey.
+type counts struct {
 	requests, prompt, completion, wasted uint64
 }
 
-func (s *sums) add(o sums) {
+func (s *counts) add(o counts) {
 	s.requests += o.requests
 	s.prompt += o.prompt
 	s.completion += o.completion
@@ -57,86 +57,86 @@
 	clock       serving.Clock
 
 	mu      sync.Mutex
-	pending map[key]*sums
-	// newest holds the last hour pending per workspace and model.
-	newest map[key]int64
+	pending map[totalKey]*counts
+	// newestHour holds the last pending hour of each workspace and model.
+	newestHour map[totalKey]int64
 
-	// send serializes Flush and guards the fields below.
-	send     sync.Mutex
+	// flushMu serializes Flush and guards the fields below.
+	flushMu  sync.Mutex
 	sequence uint64
-	// unacknowledged is the batch whose outcome is not known. It is resent
-	// unchanged, because it may have been counted.
-	unacknowledged []byte
+	// unacknowledgedBatch is the encoded batch whose outcome is unknown. It is
+	// resent unchanged, because it may have been counted.
+	unacknowledgedBatch []byte
 }
 
-// NewLedger returns an empty ledger of one incarnation of a VM.
+// NewLedger returns an empty ledger for one incarnation of a VM.
 func NewLedger(vm string, incarnation uint64, clock serving.Clock) *Ledger {
 	return &Ledger{
 		vm:          vm,
 		incarnation: incarnation,
 		clock:       clock,
-		pending:     make(map[key]*sums),
-		newest:      make(map[key]int64),
+		pending:     make(map[totalKey]*counts),
+		newestHour:  make(map[totalKey]int64),
 	}
 }
 
 // Record implements serving.Ledger.
 func (l *Ledger) Record(u serving.UsageRecord) {
-	s := sums{1, tokens(u.PromptTokens), tokens(u.CompletionTokens), tokens(u.WastedTokens)}
+	s := counts{1, nonNegative(u.PromptTokens), nonNegative(u.CompletionTokens), nonNegative(u.WastedTokens)}
 	if s.prompt+s.completion+s.wasted == 0 {
 		return
 	}
 	hour := l.clock().Unix() / secondsPerHour
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.add(key{u.Workspace, u.Model, hour, 1}, s)
+	l.add(totalKey{u.Workspace, u.Model, hour, 1}, s)
 }
 
 const secondsPerHour = 3600
 
-// tokens guards the totals against a negative count from a target.
-func tokens(n int) uint64 { return uint64(max(0, n)) }
+// nonNegative protects the totals from a negative count reported by a target.
+func nonNegative(n int) uint64 { return uint64(max(0, n)) }
 
-func (l *Ledger) add(k key, s sums) {
-	series := key{workspace: k.workspace, model: k.model}
+func (l *Ledger) add(k totalKey, s counts) {
+	series := totalKey{workspace: k.workspace, model: k.model}
 	held, ok := l.pending[k]
 	if !ok && len(l.pending) >= maxPendingTotals {
-		if hour, known := l.newest[series]; known {
+		if hour, known := l.newestHour[series]; known {
 			k.hour = hour
 			held = l.pending[k]
 		}
 	}
 	if held == nil {
-		held = new(sums)
+		held = new(counts)
 		l.pending[k] = held
-		l.newest[series] = k.hour
+		l.newestHour[series] = k.hour
 	}
 	held.add(s)
 }
 
-// Flush sends what was counted, batch by batch, until nothing is left or a
-// batch is not acknowledged.
+// Flush sends the pending totals batch by batch, until none is left or a batch
+// is not acknowledged.
 func (l *Ledger) Flush(ctx context.Context, log control.Log) error {
-	l.send.Lock()
-	defer l.send.Unlock()
+	l.flushMu.Lock()
+	defer l.flushMu.Unlock()
 	for {
-		if l.unacknowledged == nil && !l.seal() {
+		if l.unacknowledgedBatch == nil && !l.sealBatch() {
 			return nil
 		}
-		answer, err := log.Propose(ctx, control.KindUsage, l.unacknowledged)
+		answer, err := log.Propose(ctx, control.KindUsage, l.unacknowledgedBatch)
 		if err != nil {
 			return fmt.Errorf("send usage batch %d: %w", l.sequence, err)
 		}
 		if string(answer) != answerCounted {
-			return fmt.Errorf("usage batch %d: control log answered %q", l.sequence, answer)
+			return fmt.Errorf("send usage batch %d: unexpected answer %q from the control log", l.sequence, answer)
 		}
-		l.unacknowledged = nil
+		l.unacknowledgedBatch = nil
 	}
 }
 
-// seal freezes a part of the pending sums as the next batch. It reports false
-// if nothing is pending.
-func (l *Ledger) seal() bool {
+// sealBatch encodes a part of the pending totals as the next batch. It returns
+// false if nothing is pending.
+func (l *Ledger) sealBatch() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.pending) == 0 {
@@ -147,22 +147,22 @@
 	for _, k := range keys[:min(maxBatchTotals, len(keys))] {
 		batch.Totals = append(batch.Totals, toTotal(k, *l.pending[k]))
 		delete(l.pending, k)
-		series := key{workspace: k.workspace, model: k.model}
-		if l.newest[series] == k.hour {
-			delete(l.newest, series)
+		series := totalKey{workspace: k.workspace, model: k.model}
+		if l.newestHour[series] == k.hour {
+			delete(l.newestHour, series)
 		}
 	}
 	body, err := proto.Marshal(&usagev1.Command{Kind: &usagev1.Command_Batch{Batch: batch}})
 	if err != nil {
-		panic(fmt.Sprintf("usage batch cannot be encoded: %v", err))
+		panic(fmt.Sprintf("encode usage batch: %v", err))
 	}
 	l.sequence++
-	l.unacknowledged = body
+	l.unacknowledgedBatch = body
 	return true
 }
 
-func sortedKeys[V any](m map[key]V) []key {
-	keys := make([]key, 0, len(m))
+func sortedKeys[V any](m map[totalKey]V) []totalKey {
+	keys := make([]totalKey, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
 	}
@@ -181,14 +181,14 @@
 	return keys
 }
 
-func toTotal(k key, s sums) *usagev1.Total {
+func toTotal(k totalKey, s counts) *usagev1.Total {
 	return &usagev1.Total{
 		Workspace: k.workspace, Model: k.model, Hour: k.hour, Hours: k.hours, Requests: s.requests,
 		PromptTokens: s.prompt, CompletionTokens: s.completion, WastedTokens: s.wasted,
 	}
 }
 
-func fromTotal(t *usagev1.Total) (key, sums) {
-	k := key{t.GetWorkspace(), t.GetModel(), t.GetHour(), max(1, t.GetHours())}
-	return k, sums{t.GetRequests(), t.GetPromptTokens(), t.GetCompletionTokens(), t.GetWastedTokens()}
+func fromTotal(t *usagev1.Total) (totalKey, counts) {
+	k := totalKey{t.GetWorkspace(), t.GetModel(), t.GetHour(), max(1, t.GetHours())}
+	return k, counts{t.GetRequests(), t.GetPromptTokens(), t.GetCompletionTokens(), t.GetWastedTokens()}
 }
--- a/internal/usage/part.go
+++ b/internal/usage/part.go
@@ -10,21 +10,22 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// Answers of the part to a batch.
+// These are the answers of Part to a command.
 const (
 	answerCounted   = "counted"
 	answerMalformed = "malformed"
 )
 
-// Periods for which totals are kept. At 1,900 workspaces with two models each
-// the hours of 3 days and the days of 62 make about 500,000 totals.
+// These are the retention periods of totals. With 1,900 workspaces that use two
+// models each, 3 days of hourly totals and 62 days of daily totals are about
+// 500,000.
 const (
-	hoursPerDay   = 24
-	keepHours     = 3 * hoursPerDay
-	keepDaysHours = 62 * hoursPerDay
-	// keepSenders is how long the last sequence of an incarnation is
-	// remembered after its last batch. No batch is in flight for so long.
-	keepSenders = 24 * time.Hour
+	hoursPerDay          = 24
+	hourlyRetentionHours = 3 * hoursPerDay
+	dailyRetentionHours  = 62 * hoursPerDay
+	// senderRetention is how long the last sequence of an incarnation is kept
+	// after its last batch. No batch is in flight for that long.
+	senderRetention = 24 * time.Hour
 )
 
 type senderKey struct {
@@ -33,20 +34,20 @@
 }
 
 type sender struct {
-	sequence uint64
-	last     int64
+	lastSequence uint64
+	lastBatchMs  int64
 }
 
-// Part is the replicated state of billing. It implements control.Part.
+// Part is the replicated state of usage totals. It implements control.Part.
 type Part struct {
-	totals  map[key]*sums
-	senders map[senderKey]sender
-	merged  int64
+	totals         map[totalKey]*counts
+	senders        map[senderKey]sender
+	lastCompaction int64
 }
 
 // NewPart returns an empty state.
 func NewPart() *Part {
-	return &Part{totals: make(map[key]*sums), senders: make(map[senderKey]sender)}
+	return &Part{totals: make(map[totalKey]*counts), senders: make(map[senderKey]sender)}
 }
 
 // Apply implements control.Part.
@@ -58,7 +59,7 @@
 	p.compact(now)
 	switch k := c.GetKind().(type) {
 	case *usagev1.Command_Batch:
-		p.count(now, k.Batch)
+		p.applyBatch(now, k.Batch)
 		return []byte(answerCounted)
 	case *usagev1.Command_Query:
 		return p.query(k.Query)
@@ -66,12 +67,12 @@
 	return []byte(answerMalformed)
 }
 
-// count adds a batch unless it, or a later one of the same incarnation, was
-// counted before. A VM sends a batch only when the one before is
-// acknowledged, so that no batch is missed.
-func (p *Part) count(now time.Time, b *usagev1.Batch) {
+// applyBatch adds a batch unless this or a later batch of the same incarnation
+// has been counted. A VM sends a batch only after the previous one is
+// acknowledged, so no batch is skipped.
+func (p *Part) applyBatch(now time.Time, b *usagev1.Batch) {
 	from := senderKey{b.GetVm(), b.GetIncarnation()}
-	if b.GetSequence() <= p.senders[from].sequence {
+	if b.GetSequence() <= p.senders[from].lastSequence {
 		return
 	}
 	p.senders[from] = sender{b.GetSequence(), now.UnixMilli()}
@@ -80,34 +81,34 @@
 	}
 }
 
-func (p *Part) add(k key, s sums) {
+func (p *Part) add(k totalKey, s counts) {
 	held, ok := p.totals[k]
 	if !ok {
-		held = new(sums)
+		held = new(counts)
 		p.totals[k] = held
 	}
 	held.add(s)
 }
 
-// compact merges old hours into days, and drops old days and senders. It
-// works once an hour.
+// compact merges old hourly totals into daily ones, and drops old daily totals
+// and senders. It runs at most once per hour.
 func (p *Part) compact(now time.Time) {
 	hour := now.Unix() / secondsPerHour
-	if hour <= p.merged {
+	if hour <= p.lastCompaction {
 		return
 	}
-	p.merged = hour
+	p.lastCompaction = hour
 	for k, s := range p.totals {
 		switch {
-		case k.hour < hour-keepDaysHours:
+		case k.hour < hour-dailyRetentionHours:
 			delete(p.totals, k)
-		case k.hours == 1 && k.hour < hour-keepHours:
+		case k.hours == 1 && k.hour < hour-hourlyRetentionHours:
 			delete(p.totals, k)
-			p.add(key{k.workspace, k.model, k.hour - k.hour%hoursPerDay, hoursPerDay}, *s)
+			p.add(totalKey{k.workspace, k.model, k.hour - k.hour%hoursPerDay, hoursPerDay}, *s)
 		}
 	}
 	for from, s := range p.senders {
-		if now.Sub(time.UnixMilli(s.last)) > keepSenders {
+		if now.Sub(time.UnixMilli(s.lastBatchMs)) > senderRetention {
 			delete(p.senders, from)
 		}
 	}
@@ -133,13 +134,13 @@
 
 // Snapshot implements control.Part.
 func (p *Part) Snapshot() ([]byte, error) {
-	s := &usagev1.Snapshot{MergedHour: p.merged}
+	s := &usagev1.Snapshot{MergedHour: p.lastCompaction}
 	for _, k := range sortedKeys(p.totals) {
 		s.Totals = append(s.Totals, toTotal(k, *p.totals[k]))
 	}
 	for from, last := range p.senders {
 		s.Senders = append(s.Senders, &usagev1.Sender{
-			Vm: from.vm, Incarnation: from.incarnation, Sequence: last.sequence, TimeMs: last.last,
+			Vm: from.vm, Incarnation: from.incarnation, Sequence: last.lastSequence, TimeMs: last.lastBatchMs,
 		})
 	}
 	sort.Slice(s.Senders, func(i, j int) bool {
@@ -159,7 +160,7 @@
 		return fmt.Errorf("decode usage snapshot: %w", err)
 	}
 	restored := NewPart()
-	restored.merged = s.GetMergedHour()
+	restored.lastCompaction = s.GetMergedHour()
 	for _, t := range s.GetTotals() {
 		restored.add(fromTotal(t))
 	}
--- a/internal/usage/seed_test.go
+++ b/internal/usage/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // defines the flag
 )
 
-// CI must give the same verdict every time. A longer run takes another seed
-// with -rapid.seed and more schedules with -rapid.checks.
+// The seed is fixed so that CI gives the same result every time. For a longer
+// run, set another seed with -rapid.seed and more checks with -rapid.checks.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -14,16 +14,16 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// stubLog applies commands to one part. Fault decides the fate of the next
-// command.
+// stubLog applies commands to one part. fault decides whether the next command
+// or its answer is lost.
 type stubLog struct {
 	control.Log
 	part  *Part
 	now   time.Time
 	fault func() (lost, unanswered bool)
-	// late holds committed bodies that may be applied once more, as after a
-	// resend that overtook its predecessor.
-	late [][]byte
+	// committed holds the bodies of committed commands, some of which are
+	// applied once more, as after a resend that overtook its predecessor.
+	committed [][]byte
 }
 
 func (l *stubLog) Propose(_ context.Context, _ control.Kind, body []byte) ([]byte, error) {
@@ -31,7 +31,7 @@
 	if lost {
 		return nil, control.ErrNotCommitted
 	}
-	l.late = append(l.late, body)
+	l.committed = append(l.committed, body)
 	answer := l.part.Apply(1, l.now, body)
 	if unanswered {
 		return nil, control.ErrUncertain
@@ -39,8 +39,8 @@
 	return answer, nil
 }
 
-func (l *stubLog) total() sums {
-	var all sums
+func (l *stubLog) total() counts {
+	var all counts
 	for _, s := range l.part.totals {
 		all.add(*s)
 	}
@@ -48,7 +48,8 @@
 }
 
 // Guards against usage that is counted twice or lost when batches or answers
-// are lost, resent, repeated late, or the state moves through a snapshot.
+// are lost, resent or repeated late, or when the state is restored from a
+// snapshot.
 func TestUsageCountsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := &stubLog{part: NewPart(), now: time.Unix(1_700_000_000, 0)}
@@ -58,21 +59,21 @@
 			f := rapid.IntRange(0, 3).Draw(rt, "fault")
 			return f == 1, f == 2
 		}
-		var want sums
+		var want counts
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			l := ledgers[rapid.IntRange(0, 1).Draw(rt, "ledger")]
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
 				l.Record(serving.UsageRecord{Workspace: "yards", Model: "m", PromptTokens: 3, CompletionTokens: 2})
-				want.add(sums{1, 3, 2, 0})
+				want.add(counts{1, 3, 2, 0})
 			case 2:
 				_ = l.Flush(context.Background(), log)
 			case 3:
-				if n := len(log.late); n > 0 {
-					log.part.Apply(1, log.now, log.late[rapid.IntRange(0, n-1).Draw(rt, "repeat")])
+				if n := len(log.committed); n > 0 {
+					log.part.Apply(1, log.now, log.committed[rapid.IntRange(0, n-1).Draw(rt, "repeat")])
 				}
 			case 4:
-				restart(rt, log)
+				restoreFromSnapshot(rt, log)
 				log.now = log.now.Add(20 * time.Minute)
 			}
 		}
@@ -83,12 +84,12 @@
 			}
 		}
 		if got := log.total(); got != want {
-			rt.Fatalf("counted %+v, want %+v", got, want)
+			rt.Fatalf("total usage %+v, want %+v", got, want)
 		}
 	})
 }
 
-func restart(rt *rapid.T, log *stubLog) {
+func restoreFromSnapshot(rt *rapid.T, log *stubLog) {
 	data, err := log.part.Snapshot()
 	if err != nil {
 		rt.Fatal(err)
@@ -99,40 +100,40 @@
 	}
 }
 
-// Guards against memory that grows, or usage that is dropped, while the log is
-// out of reach for many hours.
-func TestMemoryIsBoundedWithoutLog(t *testing.T) {
+// Guards against unlimited memory use, and against lost usage, while the
+// control log is unreachable for many hours.
+func TestPendingUsageIsBoundedWithoutLog(t *testing.T) {
 	log := &stubLog{part: NewPart(), now: time.Unix(1_700_000_000, 0)}
 	l := NewLedger("vm-1", 1, func() time.Time { return log.now })
-	var want sums
+	var want counts
 	for hour := range 100 {
 		log.now = time.Unix(1_700_000_000+int64(hour)*3600, 0)
 		for w := range 1000 {
 			l.Record(serving.UsageRecord{Workspace: fmt.Sprint(w), Model: "m", CompletionTokens: 1})
-			want.add(sums{1, 0, 1, 0})
+			want.add(counts{1, 0, 1, 0})
 		}
 	}
 	if n := len(l.pending); n > maxPendingTotals {
-		t.Fatalf("%d totals pending", n)
+		t.Fatalf("%d totals are pending, want at most maxPendingTotals", n)
 	}
 	log.fault = func() (bool, bool) { return false, false }
 	if err := l.Flush(context.Background(), log); err != nil {
 		t.Fatal(err)
 	}
 	if got := log.total(); got != want {
-		t.Fatalf("counted %+v, want %+v", got, want)
+		t.Fatalf("total usage %+v, want %+v", got, want)
 	}
 }
 
 // Guards against totals that change when old hours are merged into days, and
-// against a state that grows for ever.
+// against a state that grows without limit.
 func TestOldHoursBecomeDays(t *testing.T) {
 	p := NewPart()
 	start := time.Unix(1_700_000_000, 0)
 	for hour := range 200 {
 		now := start.Add(time.Duration(hour) * time.Hour)
-		total := toTotal(key{"w", "m", now.Unix() / secondsPerHour, 1}, sums{1, 1, 1, 1})
-		p.count(now, &usagev1.Batch{Vm: "vm-1", Incarnation: 1, Sequence: uint64(hour + 1), Totals: []*usagev1.Total{total}})
+		total := toTotal(totalKey{"w", "m", now.Unix() / secondsPerHour, 1}, counts{1, 1, 1, 1})
+		p.applyBatch(now, &usagev1.Batch{Vm: "vm-1", Incarnation: 1, Sequence: uint64(hour + 1), Totals: []*usagev1.Total{total}})
 		p.compact(now)
 	}
 	var got usagev1.Totals
@@ -143,7 +144,7 @@
 	for _, total := range got.GetTotals() {
 		requests += total.GetRequests()
 	}
-	if requests != 200 || len(got.GetTotals()) > keepHours+10 {
+	if requests != 200 || len(got.GetTotals()) > hourlyRetentionHours+10 {
 		t.Fatalf("%d requests in %d totals, want 200 requests", requests, len(got.GetTotals()))
 	}
 	p.compact(start.Add(100 * 24 * time.Hour))
@@ -152,12 +153,12 @@
 	}
 }
 
-// Bills one batch of 1,000 totals.
+// BenchmarkApplyBatch measures one batch of 1,000 totals.
 func BenchmarkApplyBatch(b *testing.B) {
 	p := NewPart()
 	batch := &usagev1.Batch{Vm: "vm-1", Incarnation: 1}
 	for w := range maxBatchTotals {
-		batch.Totals = append(batch.Totals, toTotal(key{fmt.Sprint("workspace-", w), "gutachter", 472222, 1}, sums{5, 20000, 900, 3}))
+		batch.Totals = append(batch.Totals, toTotal(totalKey{fmt.Sprint("workspace-", w), "gutachter", 472222, 1}, counts{5, 20000, 900, 3}))
 	}
 	now := time.Unix(1_700_000_000, 0)
 	for b.Loop() {
@@ -171,7 +172,7 @@
 	}
 }
 
-// Records one request on the path of serving.
+// BenchmarkRecord measures the recording of one request while it is served.
 func BenchmarkRecord(b *testing.B) {
 	l := NewLedger("vm-1", 1, time.Now)
 	b.ReportAllocs()
