--- a/internal/edge/confirm.go
+++ b/internal/edge/confirm.go
@@ -4,69 +4,71 @@
 	"context"
 )
 
-// confirmer lets all reads that wait at the same time share one round of the
-// quorum.
-type confirmer struct {
-	once  func(context.Context) error
-	queue chan *confirmation
+// barrierBatcher batches concurrent linearizable reads: all reads that are
+// pending when a barrier starts share one quorum round trip.
+type barrierBatcher struct {
+	barrier func(context.Context) error
+	queue   chan *pendingRead
 }
 
-// confirmation is one read that waits.
-type confirmation struct {
+// pendingRead is a read that waits for a barrier to complete.
+type pendingRead struct {
 	done chan error
 }
 
-// confirmQueue bounds the waiting reads; the design size has 350 fronts.
-const confirmQueue = 1024
+// maxPendingReads limits the queue of pending reads. It leaves room for the 350
+// fronts of the largest deployment the system is designed for.
+const maxPendingReads = 1024
 
-func newConfirmer(once func(context.Context) error) *confirmer {
-	return &confirmer{once: once, queue: make(chan *confirmation, confirmQueue)}
+func newBarrierBatcher(barrier func(context.Context) error) *barrierBatcher {
+	return &barrierBatcher{barrier: barrier, queue: make(chan *pendingRead, maxPendingReads)}
 }
 
-// confirm returns nil once a round that started after the call has succeeded.
-func (c *confirmer) confirm(ctx context.Context) error {
-	w := &confirmation{done: make(chan error, 1)}
+// wait blocks until a barrier that started after the call has completed, and
+// returns its error, or until ctx is done.
+func (b *barrierBatcher) wait(ctx context.Context) error {
+	read := &pendingRead{done: make(chan error, 1)}
 	select {
-	case c.queue <- w:
+	case b.queue <- read:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case err := <-w.done:
+	case err := <-read.done:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (c *confirmer) run(ctx context.Context) {
+func (b *barrierBatcher) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-c.queue:
-			c.round(ctx, c.collect(w))
+		case read := <-b.queue:
+			b.runBarrier(ctx, b.collectPending(read))
 		}
 	}
 }
 
-func (c *confirmer) collect(w *confirmation) []*confirmation {
-	waiting := []*confirmation{w}
+func (b *barrierBatcher) collectPending(first *pendingRead) []*pendingRead {
+	pending := []*pendingRead{first}
 	for {
 		select {
-		case w := <-c.queue:
-			waiting = append(waiting, w)
+		case read := <-b.queue:
+			pending = append(pending, read)
 		default:
-			return waiting
+			return pending
 		}
 	}
 }
 
-func (c *confirmer) round(ctx context.Context, waiting []*confirmation) {
+func (b *barrierBatcher) runBarrier(ctx context.Context, pending []*pendingRead) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	err := c.once(ctx)
-	for _, w := range waiting {
-		w.done <- err
+	err := b.barrier(ctx)
+	for _, read := range pending {
+		read.done <- err
 	}
 }
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -26,107 +26,116 @@
 )
 
 const (
-	// proposeTimeout bounds a change. Operators move on to another VM after a
-	// second without an answer.
+	// proposeTimeout limits a proposal to the control log. Operators' tools try
+	// another VM after one second without a response.
 	proposeTimeout = 950 * time.Millisecond
-	// readTimeout bounds a confirmed read.
+	// readTimeout limits a linearizable read.
 	readTimeout = 900 * time.Millisecond
-	// dialTimeout bounds the set-up of a connection to another VM.
+	// dialTimeout limits the time to connect to another VM.
 	dialTimeout = 400 * time.Millisecond
-	// takeOverPause is the time to the next attempt of a new leader to reach a
-	// quorum.
-	takeOverPause = 50 * time.Millisecond
-	// reopenPause is the time from a failure of the disk to the next attempt.
-	reopenPause = 500 * time.Millisecond
-	// stopTimeout bounds the end of the servers.
-	stopTimeout = 1500 * time.Millisecond
+	// leaderBarrierRetryDelay is the delay before a new leader retries its
+	// first read barrier.
+	leaderBarrierRetryDelay = 50 * time.Millisecond
+	// logReopenDelay is the delay between a disk failure and the attempt to
+	// reopen the control log.
+	logReopenDelay = 500 * time.Millisecond
+	// shutdownTimeout limits the leadership transfer and the graceful shutdown
+	// of the servers, together.
+	shutdownTimeout = 1500 * time.Millisecond
 )
 
-// EngineAPI speaks with engines about their weights.
+// EngineAPI queries and changes the weights that engines run.
 type EngineAPI interface {
-	// Report asks an engine what it runs.
+	// Report returns the weights and the load of an engine.
 	Report(ctx context.Context, t fleet.Target) (EngineReport, error)
-	// SetWeights orders an engine to change its weights.
+	// SetWeights orders an engine to load other weights.
 	SetWeights(ctx context.Context, t fleet.Target, order WeightsOrder) error
 }
 
-// EngineReport is what an engine says of itself.
+// EngineReport is the state that an engine reports.
 type EngineReport struct {
+	// Weights maps models to the version of the weights that the engine runs.
 	Weights map[string]uint64
-	// Busy is set while the engine carries out an order.
+	// Busy is set while the engine executes an order.
 	Busy bool
-	// Orders is the number of orders accepted since its start.
+	// Orders is the number of orders that the engine has accepted since it
+	// started.
 	Orders uint64
-	// Requests is the number of requests that run or wait.
+	// Requests is the number of running and queued requests.
 	Requests int
 }
 
-// WeightsOrder tells an engine to run a version of a model. Requests that run
-// go on under the new weights.
+// WeightsOrder tells an engine which version of a model to run. Requests that
+// are running at that time continue with the new weights.
 type WeightsOrder struct {
 	Model   string
 	Version uint64
-	// Holder and Fence identify who gives the order.
+	// Holder is the VM that gives the order. Fence is its fencing token, the
+	// Raft term.
 	Holder string
 	Fence  uint64
-	// After is the number of orders that the engine must have accepted so
-	// far, so that a late order does not take effect.
+	// After is the number of orders that the engine must have accepted before
+	// this one. An engine with another count rejects the order, so that a
+	// delayed order has no effect.
 	After uint64
 }
 
-// Decoder reads a document as the operator sent it. The error says what is
-// invalid.
+// Decoder decodes the document that an operator has sent. Its error names the
+// invalid part.
 type Decoder func(raw []byte) (*gateway.Document, error)
 
-// Core is one process of the core.
+// Core is a core process: one replica of the control log, with the tasks that
+// the leader runs.
 type Core struct {
-	settings  Settings
-	logger    *zap.Logger
-	decode    Decoder
-	engines   EngineAPI
-	document  *gateway.Part
-	fleet     *fleet.Part
-	replica   *replica.Replica
-	log       *replica.Log
-	client    *http.Client
-	confirmer *confirmer
-	stores    *storeWatch
-	ctx       context.Context
-	cancel    context.CancelFunc
-	duties    sync.WaitGroup
-	disk      disk.Options
-	// failed is closed once the control log has failed.
-	failed   chan struct{}
-	failOnce sync.Once
+	settings    Settings
+	logger      *zap.Logger
+	decode      Decoder
+	engines     EngineAPI
+	document    *gateway.Part
+	registry    *fleet.Registry
+	replica     *replica.Replica
+	log         *replica.Log
+	client      *http.Client
+	barriers    *barrierBatcher
+	storeHealth *storeHealth
+	ctx         context.Context
+	cancel      context.CancelFunc
+	tasks       sync.WaitGroup
+	disk        disk.Options
+	// logFailed is closed when the control log has failed.
+	logFailed     chan struct{}
+	logFailedOnce sync.Once
 
 	mu sync.Mutex
-	// changed is closed and replaced at each change of the state or role.
+	// changed is closed and replaced whenever the replicated state or the Raft
+	// role changes.
 	changed chan struct{}
 	divider *ratelimit.Divider
 	fronts  *fleetsync.Fronts
-	// leading is since when this replica leads; 0 if it does not.
-	leading time.Duration
+	// electedAt is when this replica became leader, on the boot clock; 0 if it
+	// is not the leader.
+	electedAt time.Duration
 }
 
-// CoreOptions are the ports of a core process.
+// CoreOptions are the dependencies of a core process.
 type CoreOptions struct {
 	Logger  *zap.Logger
 	Decode  Decoder
 	Engines EngineAPI
-	// Disk replaces how files are opened, in tests.
+	// Disk replaces the function that opens files. Only tests set it.
 	Disk disk.Options
-	// Control serves operators and targets; it is given the core.
+	// Control returns the handler for operators and targets of a core.
 	Control func(*Core) http.Handler
 }
 
-// errLogFailed means that the files of the control log could not be written or
-// opened. They are read again, because what a failed write has left is not
-// known.
+// errLogFailed means that a file of the control log could not be opened or
+// written. The log has to be reopened and read from disk, because a failed write
+// leaves the contents of the file undefined.
 var errLogFailed = errors.New("control log failed")
 
-// RunCore runs a core process until ctx ends. After a failure of the disk the
-// control log is opened again: a member that stayed away would leave the core
-// without a majority at the next failure.
+// RunCore runs a core process until ctx is done. After a disk failure it reopens
+// the control log: if the member stayed down, the core would lose its majority
+// at the next failure.
 func RunCore(ctx context.Context, s Settings, options CoreOptions) error {
 	serveMetrics(&s, options.Logger)
 	for {
@@ -134,37 +143,38 @@
 		if err == nil || !errors.Is(err, errLogFailed) {
 			return err
 		}
-		options.Logger.Warn("control log is opened again", zap.Duration("after", reopenPause), zap.Error(err))
-		if !pause.For(ctx, reopenPause) {
+		options.Logger.Warn("control log failed; reopening it", zap.Duration("after", logReopenDelay), zap.Error(err))
+		if !pause.For(ctx, logReopenDelay) {
 			return nil
 		}
 	}
 }
 
-// runCore runs until ctx ends or the control log fails.
+// runCore runs a core process until ctx is done or the control log fails.
 func runCore(ctx context.Context, s Settings, options CoreOptions) error {
 	c := &Core{
 		settings: s, logger: options.Logger, decode: options.Decode, engines: options.Engines, disk: options.Disk,
-		document: &gateway.Part{}, fleet: fleet.NewPart(), changed: make(chan struct{}), failed: make(chan struct{}),
-		client: peerClient(), stores: newStoreWatch(),
+		document: &gateway.Part{}, registry: fleet.NewRegistry(), changed: make(chan struct{}), logFailed: make(chan struct{}),
+		client: peerClient(), storeHealth: newStoreHealth(),
 	}
-	// The duties outlive ctx, so that the leadership can be handed over.
+	// The tasks keep running after ctx is done, so that shutdown can transfer
+	// the leadership.
 	c.ctx, c.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	defer c.duties.Wait()
+	defer c.tasks.Wait()
 	defer c.cancel()
 	c.document.OnChange = c.notify
-	c.fleet.OnChange = c.notify
+	c.registry.OnChange = c.notify
 	if err := c.openReplica(); err != nil {
 		return err
 	}
-	c.addGauges()
-	c.confirmer = newConfirmer(c.confirm)
-	c.duty(c.confirmer.run)
-	c.duty(c.repairMembers)
-	c.duty(c.join)
-	c.duty(c.updateWeights)
-	c.duty(c.recordSpending)
-	c.duty(c.watchStores)
+	c.registerGauges()
+	c.barriers = newBarrierBatcher(c.readBarrier)
+	c.startTask(c.barriers.run)
+	c.startTask(c.repairMembers)
+	c.startTask(c.join)
+	c.startTask(c.updateWeights)
+	c.startTask(c.recordSpending)
+	c.startTask(c.probeStores)
 	servers, err := c.serve(options.Control(c))
 	if err != nil {
 		return err
@@ -172,9 +182,9 @@
 	c.logger.Info("core started", zap.Bool("first_start", s.FirstStart), zap.String("replica", c.replica.Status().ID))
 	select {
 	case <-ctx.Done():
-		c.stop(servers)
+		c.shutdown(servers)
 		return nil
-	case <-c.failed:
+	case <-c.logFailed:
 	}
 	closeAll(servers)
 	return errors.Mark(c.replica.Status().Failure, errLogFailed)
@@ -182,25 +192,25 @@
 
 func closeAll(servers []*http.Server) {
 	for _, s := range servers {
-		// The connections are broken off on purpose: their callers go on to
-		// another member at once.
+		// The connections are closed without a graceful shutdown, so that
+		// their clients fail over to another member at once.
 		_ = s.Close()
 	}
 }
 
-// addGauges publishes what this member knows.
-func (c *Core) addGauges() {
+// registerGauges exports the state of this member as metrics.
+func (c *Core) registerGauges() {
 	set := metrics.New(c.settings.VM)
 	set.Gauge("leads", func() any { return c.replica.Status().Role == raft.Leader })
 	set.Gauge("term", func() any { return c.replica.Status().Term })
 	set.Gauge("commit", func() any { return c.replica.Status().Commit })
 	set.Gauge("voters", func() any { return c.replica.Status().Members.Voters() })
 	set.Gauge("document", func() any { return c.document.Current().Version })
-	set.Gauge("targets", func() any { return len(c.fleet.Current().Targets) })
+	set.Gauge("targets", func() any { return len(c.registry.Current().Targets) })
 }
 
-// peerClient calls other VMs. A connection that went silent is given up with
-// the call's own timeout.
+// peerClient returns the HTTP client for calls to other VMs. If a connection stops
+// responding, the timeout of the call ends it.
 func peerClient() *http.Client {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.AckTimeout(ackTimeout)}
 	return &http.Client{Transport: &http.Transport{
@@ -211,14 +221,15 @@
 	}}
 }
 
-func (c *Core) duty(f func(context.Context)) {
-	c.duties.Go(func() { f(c.ctx) })
+// startTask runs f in the background until the core shuts down.
+func (c *Core) startTask(f func(context.Context)) {
+	c.tasks.Go(func() { f(c.ctx) })
 }
 
 func (c *Core) openReplica() error {
-	id, bootstrap, err := identity(&c.settings)
+	id, bootstrap, err := loadIdentity(&c.settings)
 	if err != nil {
-		return errors.Mark(errors.Wrap(err, "read the identity of the replica"), errLogFailed)
+		return errors.Mark(errors.Wrap(err, "load the replica ID"), errLogFailed)
 	}
 	url := func(address string) string { return "http://" + address }
 	r, err := replica.Open(replica.Config{
@@ -226,11 +237,11 @@
 		Folder:    c.settings.DataFolder,
 		Disk:      c.disk,
 		Bootstrap: bootstrap,
-		Parts:     map[control.Kind]control.Part{control.KindDocument: c.document, control.KindFleet: c.fleet},
-		Transport: &replica.Peers{Self: c.settings.ownPeer(), URL: url, Client: c.client, Start: c.duty},
+		Parts:     map[control.Kind]control.Part{control.KindDocument: c.document, control.KindFleet: c.registry},
+		Transport: &replica.Peers{Self: c.settings.selfPeerAddress(), URL: url, Client: c.client, Start: c.startTask},
 		Clock:     time.Now,
 		Steady:    boottime.Now,
-		OnChange:  c.observe,
+		OnChange:  c.onReplicaStatus,
 	})
 	var corrupt *disk.CorruptError
 	if errors.As(err, &corrupt) {
@@ -240,34 +251,34 @@
 		return errors.Mark(errors.Wrap(err, "open the control log"), errLogFailed)
 	}
 	c.replica = r
-	c.log = &replica.Log{Replica: r, Voters: firstVoters(&c.settings), URL: url, Client: c.client}
-	c.duty(r.Run)
+	c.log = &replica.Log{Replica: r, Voters: initialVoters(&c.settings), URL: url, Client: c.client}
+	c.startTask(r.Run)
 	return nil
 }
 
-// observe follows the role of the replica.
-func (c *Core) observe(s replica.Status) {
+// onReplicaStatus handles a change of the replica's role, leader or failure.
+func (c *Core) onReplicaStatus(s replica.Status) {
 	c.mu.Lock()
 	switch {
 	case s.Role != raft.Leader:
-		c.leading, c.divider, c.fronts = 0, nil, nil
-	case c.leading == 0:
-		c.leading = boottime.Now()
-		elected := c.leading
-		c.duty(func(ctx context.Context) { c.takeOver(ctx, elected) })
+		c.electedAt, c.divider, c.fronts = 0, nil, nil
+	case c.electedAt == 0:
+		c.electedAt = boottime.Now()
+		electedAt := c.electedAt
+		c.startTask(func(ctx context.Context) { c.establishLeadership(ctx, electedAt) })
 	}
 	c.mu.Unlock()
 	c.notify()
 	if s.Failure != nil {
-		c.logger.Error("control log failed; this replica makes no promises until it is opened again", zap.Error(s.Failure))
-		c.failOnce.Do(func() { close(c.failed) })
+		c.logger.Error("control log failed; this replica neither votes nor acknowledges entries until the log is reopened", zap.Error(s.Failure))
+		c.logFailedOnce.Do(func() { close(c.logFailed) })
 		return
 	}
 	c.logger.Info("control log changed", zap.String("role", s.Role.String()), zap.String("leader", s.Leader),
 		zap.Uint64("term", s.Term), zap.Uint64("commit", s.Commit), zap.Int("voters", s.Members.Voters()))
 }
 
-// notify wakes everything that waits for a change.
+// notify wakes all goroutines that wait for a state change.
 func (c *Core) notify() {
 	c.mu.Lock()
 	close(c.changed)
@@ -275,97 +286,103 @@
 	c.mu.Unlock()
 }
 
-func (c *Core) change() <-chan struct{} {
+// changeSignal returns a channel that is closed at the next state change.
+func (c *Core) changeSignal() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// leadership is what a leader holds in memory for the fronts.
+// leadership is the in-memory state of a leader. It is not replicated.
 type leadership struct {
-	since   time.Duration
-	divider *ratelimit.Divider
-	fronts  *fleetsync.Fronts
+	electedAt time.Duration
+	divider   *ratelimit.Divider
+	fronts    *fleetsync.Fronts
 }
 
-// leadership reports whether this replica leads and has taken over.
+// leadership returns the leader state, and whether this replica is the leader
+// and has established its leadership.
 func (c *Core) leadership() (leadership, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return leadership{c.leading, c.divider, c.fronts}, c.divider != nil
+	return leadership{c.electedAt, c.divider, c.fronts}, c.divider != nil
 }
 
-// takeOver begins a leadership once the state contains all that was committed
-// before it: after a start a replica does not know how much of its log is, and
-// what workspaces have spent would be missing.
-func (c *Core) takeOver(ctx context.Context, elected time.Duration) {
-	for c.elected(elected) {
-		limited, cancel := context.WithTimeout(ctx, readTimeout)
-		err := c.confirm(limited)
+// establishLeadership starts serving as leader once a read barrier shows that
+// the replica has applied all entries committed before its election. A replica
+// that has just started does not know how much of its log is committed; without
+// the barrier the recorded spending of the workspaces would be missing.
+func (c *Core) establishLeadership(ctx context.Context, electedAt time.Duration) {
+	for c.leadsSince(electedAt) {
+		barrierCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		err := c.readBarrier(barrierCtx)
 		cancel()
 		if err == nil {
-			c.begin(elected)
+			c.startLeading(electedAt)
 			return
 		}
-		c.logger.Info("leader does not have the whole state yet", zap.Error(err))
-		if !pause.For(ctx, takeOverPause) {
+		c.logger.Info("read barrier of the new leader failed; retrying", zap.Error(err))
+		if !pause.For(ctx, leaderBarrierRetryDelay) {
 			return
 		}
 	}
 }
 
-// elected reports whether this replica leads since its election at a time.
-func (c *Core) elected(at time.Duration) bool {
+// leadsSince reports whether this replica is still the leader elected at
+// electedAt.
+func (c *Core) leadsSince(electedAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leading == at
+	return c.electedAt == electedAt
 }
 
-func (c *Core) begin(elected time.Duration) {
-	spent := c.fleet.Current().Spent
+// startLeading creates the leader state from the recorded spending, unless the
+// replica has lost the leadership meanwhile.
+func (c *Core) startLeading(electedAt time.Duration) {
+	spent := c.registry.Current().Spent
 	c.mu.Lock()
-	if c.leading == elected {
+	if c.electedAt == electedAt {
 		c.fronts = fleetsync.NewFronts()
 		c.divider = ratelimit.NewDivider(boottime.Now(), c.settings.Bounds.Quota.Window, spent)
 	}
 	c.mu.Unlock()
-	c.logger.Info("leadership taken over", zap.Duration("after", boottime.Now()-elected), zap.Any("spent", spent))
+	c.logger.Info("leadership established", zap.Duration("after", boottime.Now()-electedAt), zap.Any("spent", spent))
 	c.notify()
 }
 
-// serve starts the servers for peers and for operators and targets.
+// serve starts two servers: one for peers, one for operators and targets.
 func (c *Core) serve(control http.Handler) ([]*http.Server, error) {
 	mux := http.NewServeMux()
 	server := replica.Server{Replica: c.replica}
-	step := raftv1.NewRaftServiceServer(server)
-	mux.Handle(step.PathPrefix(), step)
-	calls := raftv1.NewLogServiceServer(server)
-	mux.Handle(calls.PathPrefix(), calls)
-	c.handleSync(mux)
-	c.handleJoin(mux)
-	addMetrics(mux)
+	raftService := raftv1.NewRaftServiceServer(server)
+	mux.Handle(raftService.PathPrefix(), raftService)
+	logService := raftv1.NewLogServiceServer(server)
+	mux.Handle(logService.PathPrefix(), logService)
+	c.registerSync(mux)
+	c.registerJoin(mux)
+	registerMetrics(mux)
 	var servers []*http.Server
-	for address, handler := range map[string]http.Handler{c.settings.ownPeer(): mux, c.settings.ControlAddress: control} {
+	for address, handler := range map[string]http.Handler{c.settings.selfPeerAddress(): mux, c.settings.ControlAddress: control} {
 		listener, err := listen(address)
 		if err != nil {
 			return nil, errors.Wrapf(err, "listen on %s", address)
 		}
 		s := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 		servers = append(servers, s)
-		c.duty(func(context.Context) { serveUntilClosed(c.logger, s, listener) })
+		c.startTask(func(context.Context) { serveUntilClosed(c.logger, s, listener) })
 	}
 	return servers, nil
 }
 
-// stop hands the leadership over before the servers end, so that fronts and
-// operators find a leader at once.
-func (c *Core) stop(servers []*http.Server) {
+// shutdown transfers the leadership before it stops the servers, so that fronts
+// and operators do not have to wait for an election.
+func (c *Core) shutdown(servers []*http.Server) {
 	c.logger.Info("core stops", zap.String("reason", "signal"))
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if c.replica.Status().Role == raft.Leader {
 		if err := c.replica.Transfer(ctx); err != nil {
-			c.logger.Warn("leadership was not handed over", zap.Error(err))
+			c.logger.Warn("leadership transfer failed", zap.Error(err))
 		}
 	}
 	c.notify()
@@ -377,22 +394,23 @@
 	c.client.CloseIdleConnections()
 }
 
-// member reports whether this VM's state follows the log.
-func (c *Core) member() bool {
+// isMember reports whether this replica is a member of the control log and has
+// not failed, so that its state follows the log.
+func (c *Core) isMember() bool {
 	status := c.replica.Status()
 	_, ok := status.Members.Find(status.ID)
 	return ok && status.Failure == nil
 }
 
-// ErrUnavailable means that the core cannot answer now; nothing is known of
-// what was asked.
+// ErrUnavailable means that the core cannot respond at present. A proposal that
+// ends with it may or may not take effect.
 var ErrUnavailable = errors.New("the control log is not reachable")
 
-// confirm returns once the state of this VM contains everything that was
+// readBarrier blocks until this replica has applied all entries that were
 // committed before the call.
-func (c *Core) confirm(ctx context.Context) error {
-	if !c.member() {
-		return errors.Mark(errors.New("this VM is no member of the control log"), ErrUnavailable)
+func (c *Core) readBarrier(ctx context.Context) error {
+	if !c.isMember() {
+		return errors.Mark(errors.New("this VM is not a member of the control log"), ErrUnavailable)
 	}
 	if _, err := c.log.Barrier(ctx); err != nil {
 		return errors.Mark(err, ErrUnavailable)
@@ -400,6 +418,7 @@
 	return nil
 }
 
+// propose appends a command to the control log and waits until it is committed.
 func (c *Core) propose(ctx context.Context, kind control.Kind, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/internal/edge/corecalls.go
+++ b/internal/edge/coreapi.go
@@ -10,13 +10,13 @@
 	"github.com/cuminwing/cuminwing/internal/gateway"
 )
 
-// PutDocument accepts a document that an operator has sent. An error that is
-// gateway.ErrInvalid says what is wrong with it; ErrUnavailable means that it
-// may or may not be in force.
+// PutDocument validates a document from an operator and commits it to the
+// control log. An error that is gateway.ErrInvalid names the invalid part. After
+// ErrUnavailable the document may or may not be in force.
 func (c *Core) PutDocument(ctx context.Context, raw []byte) error {
 	document, err := c.decode(raw)
 	if err != nil {
-		c.logger.Info("document refused", zap.Int("bytes", len(raw)), zap.Error(err))
+		c.logger.Info("document rejected", zap.Int("bytes", len(raw)), zap.Error(err))
 		return err
 	}
 	err = c.propose(ctx, control.KindDocument, gateway.EncodePut(document.Version, raw))
@@ -25,20 +25,21 @@
 	return err
 }
 
-// Document returns the newest document, confirmed by a quorum.
+// Document returns the latest committed document, by a linearizable read.
 func (c *Core) Document(ctx context.Context) (gateway.Stored, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	if err := c.confirmer.confirm(ctx); err != nil {
-		c.logger.Info("document not read", zap.Error(err))
+	if err := c.barriers.wait(ctx); err != nil {
+		c.logger.Info("document read failed", zap.Error(err))
 		return gateway.Stored{}, ErrUnavailable
 	}
 	return c.document.Current(), nil
 }
 
-// Announce takes the heartbeat of a target.
+// Announce handles the heartbeat of a target. It proposes an entry only if the
+// heartbeat changes the registry.
 func (c *Core) Announce(ctx context.Context, t fleet.Target) error {
-	if c.fleet.Current().Known(t) {
+	if c.registry.Current().IsUpToDate(t) {
 		return nil
 	}
 	err := c.propose(ctx, control.KindFleet, fleet.Command{Announce: &t}.Encode())
@@ -48,14 +49,15 @@
 	return err
 }
 
-// Leave takes the deregistration of a target.
+// Leave deregisters a target.
 func (c *Core) Leave(ctx context.Context, id string) error {
-	if _, ok := c.fleet.Current().Targets[id]; !ok && c.member() {
-		// Not known here yet does not mean not known to the leader.
-		if err := c.confirmer.confirm(ctx); err != nil {
+	if _, ok := c.registry.Current().Targets[id]; !ok && c.isMember() {
+		// This replica may lag behind the leader, so the target may be
+		// registered although it is missing here.
+		if err := c.barriers.wait(ctx); err != nil {
 			return ErrUnavailable
 		}
-		if _, ok := c.fleet.Current().Targets[id]; !ok {
+		if _, ok := c.registry.Current().Targets[id]; !ok {
 			return nil
 		}
 	}
@@ -64,9 +66,9 @@
 	return err
 }
 
-// NameWeights names the version of a model that engines have to run.
+// NameWeights sets the version of a model that engines have to run.
 func (c *Core) NameWeights(ctx context.Context, w fleet.Weights) error {
 	err := c.propose(ctx, control.KindFleet, fleet.Command{Weights: &w}.Encode())
-	c.logger.Info("weights named", zap.String("model", w.Model), zap.Uint64("version", w.Version), zap.Error(err))
+	c.logger.Info("required weights proposed", zap.String("model", w.Model), zap.Uint64("version", w.Version), zap.Error(err))
 	return err
 }
--- a/internal/edge/coremembers.go
+++ b/internal/edge/coremembers.go
@@ -17,99 +17,103 @@
 
 const (
 	joinPath = "/join"
-	// joinInterval is the time between two requests to be taken into the log.
+	// joinInterval is the time between two join requests.
 	joinInterval = 500 * time.Millisecond
-	// repairInterval is the time between two looks at the members.
+	// repairInterval is the time between two checks of the membership.
 	repairInterval = 300 * time.Millisecond
-	// joinTimeout bounds one request to join.
+	// joinTimeout limits one join request.
 	joinTimeout = time.Second
 )
 
-// joinRequest asks the leader to take a replica into the log.
+// joinRequest asks the leader to add a replica to the control log.
 type joinRequest struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 }
 
+// joinResponse holds the peer addresses of the leader and of all members.
 type joinResponse struct {
 	Leader string   `json:"leader,omitempty"`
 	Core   []string `json:"core,omitempty"`
 }
 
-func (c *Core) handleJoin(mux *http.ServeMux) {
+func (c *Core) registerJoin(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+joinPath, func(w http.ResponseWriter, r *http.Request) {
 		var request joinRequest
 		if !readJSON(w, r, &request) {
 			return
 		}
 		if c.replica.Status().Role == raft.Leader {
-			c.admit(r.Context(), request)
+			c.addLearner(r.Context(), request)
 		}
 		writeJSON(w, joinResponse{Leader: c.leaderAddress(), Core: c.coreAddresses()})
 	})
 }
 
-// admit adds a replica as a learner. Another replica at its address has lost
-// its disk and is removed.
-func (c *Core) admit(ctx context.Context, request joinRequest) {
+// addLearner adds a replica as a learner. If another replica is registered at its
+// address, that one has lost its disk and is removed first.
+func (c *Core) addLearner(ctx context.Context, request joinRequest) {
 	change, ok := raft.AdmitChange(c.replica.Status().Members, request.ID, request.Address)
 	if !ok {
 		return
 	}
-	c.carryOut(ctx, change)
+	c.changeMembers(ctx, change)
 }
 
-func (c *Core) carryOut(ctx context.Context, change raft.Change) {
+func (c *Core) changeMembers(ctx context.Context, change raft.Change) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	err := c.replica.ChangeMembers(ctx, change)
-	c.logger.Info("membership of the control log", zap.String("change", change.Kind.String()),
+	c.logger.Info("control log membership change proposed", zap.String("change", change.Kind.String()),
 		zap.String("replica", change.ID), zap.String("address", change.Address), zap.Error(err))
 }
 
-// repairMembers promotes learners and removes voters that are lost.
+// repairMembers promotes learners and removes unreachable voters.
 func (c *Core) repairMembers(ctx context.Context) {
 	repair := raft.NewRepair()
 	for pause.For(ctx, repairInterval) {
 		status := c.replica.Status()
 		if change, ok := repair.Next(boottime.Now(), &status.Status); ok {
-			c.carryOut(ctx, change)
+			c.changeMembers(ctx, change)
 		}
 	}
 }
 
-// join asks the core to take this replica in, while it is no member.
+// join requests membership of the control log until this replica is a member
+// and knows the leader.
 func (c *Core) join(ctx context.Context) {
-	known := c.settings.seedPeers()
+	candidates := c.settings.seedPeerAddresses()
 	for attempt := 0; pause.For(ctx, joinInterval); attempt++ {
 		status := c.replica.Status()
-		if status.Failure != nil || status.Leader != "" && c.member() {
+		if status.Failure != nil || status.Leader != "" && c.isMember() {
 			continue
 		}
-		if c.member() && !status.New && attempt%4 != 0 {
-			// A voter without a leader mostly waits for an election.
+		if c.isMember() && !status.New && attempt%4 != 0 {
+			// A voter that knows no leader is usually waiting for an election
+			// to finish, so it asks only on every fourth attempt.
 			continue
 		}
-		if attempt > 0 && attempt%len(known) == 0 {
-			known = distinct(append(append(c.settings.currentSeeds(c.logger), known...), c.coreAddresses()...))
-			known = known[:min(len(known), maxKnown)]
+		if attempt > 0 && attempt%len(candidates) == 0 {
+			candidates = dedupe(append(append(c.settings.reloadSeedPeerAddresses(c.logger), candidates...), c.coreAddresses()...))
+			candidates = candidates[:min(len(candidates), maxCandidates)]
 		}
-		peer := known[attempt%len(known)]
-		response, err := c.askToJoin(ctx, peer, status.ID)
+		peer := candidates[attempt%len(candidates)]
+		response, err := c.requestJoin(ctx, peer, status.ID)
 		if err != nil {
-			c.logger.Info("core not joined", zap.String("asked", peer), zap.Error(err))
+			c.logger.Info("join request failed", zap.String("asked", peer), zap.Error(err))
 			continue
 		}
-		known = distinct(append(response.Core, known...))
-		known = known[:min(len(known), maxKnown)]
+		candidates = dedupe(append(response.Core, candidates...))
+		candidates = candidates[:min(len(candidates), maxCandidates)]
 		if response.Leader != "" && response.Leader != peer {
-			known = distinct(append([]string{response.Leader}, known...))
+			candidates = dedupe(append([]string{response.Leader}, candidates...))
 			attempt = -1
 		}
 	}
 }
 
-func distinct(list []string) []string {
+// dedupe removes repeated strings in place and keeps the order.
+func dedupe(list []string) []string {
 	seen := make(map[string]bool)
 	kept := list[:0]
 	for _, s := range list {
@@ -121,35 +125,35 @@
 	return kept
 }
 
-func (c *Core) askToJoin(ctx context.Context, peer, id string) (joinResponse, error) {
+func (c *Core) requestJoin(ctx context.Context, peer, id string) (joinResponse, error) {
 	var response joinResponse
-	if peer == c.settings.ownPeer() {
+	if peer == c.settings.selfPeerAddress() {
 		return response, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	err := postJSON(ctx, c.client, "http://"+peer+joinPath, joinRequest{ID: id, Address: c.settings.ownPeer()}, &response)
+	err := postJSON(ctx, c.client, "http://"+peer+joinPath, joinRequest{ID: id, Address: c.settings.selfPeerAddress()}, &response)
 	return response, err
 }
 
-// postJSON makes a call to another VM.
+// postJSON sends a request to another VM and decodes its response.
 func postJSON(ctx context.Context, client *http.Client, url string, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	call.Header.Set("Content-Type", "application/json")
-	answer, err := client.Do(call)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	httpResponse, err := client.Do(httpRequest)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %s", url, answer.Status)
+	defer httpResponse.Body.Close()
+	if httpResponse.StatusCode != http.StatusOK {
+		return fmt.Errorf("POST %s: unexpected status %s", url, httpResponse.Status)
 	}
-	return json.NewDecoder(answer.Body).Decode(response)
+	return json.NewDecoder(httpResponse.Body).Decode(response)
 }
--- a/internal/edge/corespending.go
+++ b/internal/edge/corespending.go
@@ -13,36 +13,39 @@
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
-// recordChange is the relative change from which a record is renewed.
-const recordChange = 0.1
+// spendingChangeThreshold is the relative change above which the spending of a
+// workspace is recorded again.
+const spendingChangeThreshold = 0.1
 
-// recordSpending is a duty of the leader: after a loss of all processes the
-// next leader has to know what the workspaces have spent in the window.
+// recordSpending runs on the leader. It commits what the workspaces have spent
+// within the window, so that the next leader knows it even after all processes
+// have crashed.
 func (c *Core) recordSpending(ctx context.Context) {
 	for pause.For(ctx, ratelimit.RecordInterval) {
-		led, leading := c.leadership()
+		leader, leading := c.leadership()
 		if !leading {
 			continue
 		}
-		totals := led.divider.Totals(boottime.Now())
-		if !differs(totals, c.fleet.Current().Spent) {
+		totals := leader.divider.Totals(boottime.Now())
+		if !spendingChanged(totals, c.registry.Current().Spent) {
 			continue
 		}
 		if err := c.propose(ctx, control.KindFleet, fleet.Command{Spent: totals}.Encode()); err != nil {
-			c.logger.Info("spending not recorded", zap.Error(err))
+			c.logger.Info("recording the spending of workspaces failed", zap.Error(err))
 		}
 	}
 }
 
-// differs reports whether a record is worth an entry in the log.
-func differs(now, recorded map[string]ratelimit.Spending) bool {
-	if len(now) != len(recorded) {
+// spendingChanged reports whether the spending differs enough from the record to
+// justify a log entry.
+func spendingChanged(current, recorded map[string]ratelimit.Spending) bool {
+	if len(current) != len(recorded) {
 		return true
 	}
-	for workspace, spending := range now {
-		before := recorded[workspace]
-		change := max(math.Abs(spending.Spent-before.Spent), math.Abs(spending.Recent-before.Recent))
-		if change > recordChange*max(spending.Spent, before.Spent) {
+	for workspace, spending := range current {
+		previous := recorded[workspace]
+		change := max(math.Abs(spending.Spent-previous.Spent), math.Abs(spending.Recent-previous.Recent))
+		if change > spendingChangeThreshold*max(spending.Spent, previous.Spent) {
 			return true
 		}
 	}
--- a/internal/edge/corestores.go
+++ b/internal/edge/corestores.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	// storeInterval is the time between two looks at the stores. An engine that
-	// asks a lost one waits for some hundred milliseconds with each request.
-	storeInterval = 300 * time.Millisecond
-	// storeDial bounds the set-up of a connection to a store; between regions
-	// it takes 60 ms.
-	storeDial = 300 * time.Millisecond
-	// storeMisses is the number of failures in a row after which a store is
-	// lost: one may be a lost packet.
-	storeMisses = 2
+	// storeProbeInterval is the time between two probes of a store. Until an
+	// unreachable store is detected, each request that an engine makes to it
+	// is delayed by some hundred milliseconds.
+	storeProbeInterval = 300 * time.Millisecond
+	// storeProbeTimeout limits the time to connect to a store. Connecting
+	// between regions takes 60 ms.
+	storeProbeTimeout = 300 * time.Millisecond
+	// storeFailureThreshold is the number of consecutive failed probes after
+	// which a store counts as unreachable. One failure may be a lost packet.
+	storeFailureThreshold = 2
 )
 
-// storeWatch knows which stores cannot be reached.
-type storeWatch struct {
-	// version and addresses are those of the document that was read last; only
-	// watchStores uses them.
+// storeHealth tracks which stores are unreachable.
+type storeHealth struct {
+	// version is that of the document decoded last, and addresses are its
+	// stores. Only the goroutine of probeStores uses them.
 	version   uint64
 	addresses []string
 
 	mu sync.Mutex
-	// misses counts failures in a row by address.
-	misses map[string]int
+	// failures counts the consecutive failed probes by address.
+	failures map[string]int
 }
 
-func newStoreWatch() *storeWatch { return &storeWatch{misses: make(map[string]int)} }
+func newStoreHealth() *storeHealth { return &storeHealth{failures: make(map[string]int)} }
 
-// lost returns the addresses of the lost stores in order.
-func (w *storeWatch) lost() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// unreachable returns the sorted addresses of the unreachable stores.
+func (h *storeHealth) unreachable() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var list []string
-	for address, misses := range w.misses {
-		if misses >= storeMisses {
+	for address, count := range h.failures {
+		if count >= storeFailureThreshold {
 			list = append(list, address)
 		}
 	}
@@ -52,54 +53,55 @@
 	return list
 }
 
-// note takes the outcome of an attempt, and reports whether the store is lost
-// or regained with it.
-func (w *storeWatch) note(address string, reached bool) (changed bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	before := w.misses[address] >= storeMisses
+// recordProbe records the result of a probe, and reports whether the store became
+// unreachable or reachable by it.
+func (h *storeHealth) recordProbe(address string, reached bool) (changed bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	wasUnreachable := h.failures[address] >= storeFailureThreshold
 	if reached {
-		delete(w.misses, address)
-		return before
+		delete(h.failures, address)
+		return wasUnreachable
 	}
-	w.misses[address]++
-	return !before && w.misses[address] >= storeMisses
+	h.failures[address]++
+	return !wasUnreachable && h.failures[address] >= storeFailureThreshold
 }
 
-// forget drops what is known of the stores.
-func (w *storeWatch) forget() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.misses)
+// reset clears the results of all probes.
+func (h *storeHealth) reset() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	clear(h.failures)
 }
 
-// watchStores is a duty of the leader: fronts are told which stores are lost.
-func (c *Core) watchStores(ctx context.Context) {
-	for pause.For(ctx, storeInterval) {
+// probeStores runs on the leader. It finds the unreachable stores, which the
+// leader reports to the fronts.
+func (c *Core) probeStores(ctx context.Context) {
+	for pause.For(ctx, storeProbeInterval) {
 		if _, leading := c.leadership(); !leading {
-			c.stores.forget()
+			c.storeHealth.reset()
 			continue
 		}
-		var waiting sync.WaitGroup
+		var probes sync.WaitGroup
 		for _, address := range c.storeAddresses() {
-			waiting.Go(func() { c.tryStore(ctx, address) })
+			probes.Go(func() { c.probeStore(ctx, address) })
 		}
-		waiting.Wait()
+		probes.Wait()
 	}
 }
 
-// storeAddresses returns the stores of the document. Those of an earlier one
-// are forgotten.
+// storeAddresses returns the addresses of the stores in the current document. It
+// clears the probe results if the stores have changed.
 func (c *Core) storeAddresses() []string {
 	stored := c.document.Current()
-	w := c.stores
-	if stored.Version == w.version {
-		return w.addresses
+	h := c.storeHealth
+	if stored.Version == h.version {
+		return h.addresses
 	}
 	document, err := c.decode(stored.Raw)
 	if err != nil {
-		c.logger.Error("document in force cannot be decoded", zap.Uint64("version", stored.Version), zap.Error(err))
-		return w.addresses
+		c.logger.Error("decoding the document in force failed", zap.Uint64("version", stored.Version), zap.Error(err))
+		return h.addresses
 	}
 	var addresses []string
 	for i := range document.Services {
@@ -107,28 +109,30 @@
 			addresses = append(addresses, s.Address)
 		}
 	}
-	if !slices.Equal(addresses, w.addresses) {
-		w.forget()
+	if !slices.Equal(addresses, h.addresses) {
+		h.reset()
 	}
-	w.version, w.addresses = stored.Version, addresses
+	h.version, h.addresses = stored.Version, addresses
 	return addresses
 }
 
-func (c *Core) tryStore(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, storeDial)
+// probeStore connects to a store and wakes the waiting fronts if its reachability
+// has changed.
+func (c *Core) probeStore(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
 		_ = conn.Close()
 	}
-	if !c.stores.note(address, err == nil) {
+	if !c.storeHealth.recordProbe(address, err == nil) {
 		return
 	}
 	if err != nil {
-		c.logger.Info("store lost", zap.String("address", address), zap.Error(err))
+		c.logger.Info("store is unreachable", zap.String("address", address), zap.Error(err))
 	} else {
-		c.logger.Info("store regained", zap.String("address", address))
+		c.logger.Info("store is reachable again", zap.String("address", address))
 	}
 	c.notify()
 }
--- /dev/null
+++ b/internal/edge/corestores_test.go
@@ -0,0 +1,107 @@
+package edge
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"go.uber.org/zap"
+
+	"github.com/cuminwing/cuminwing/internal/fleetsync"
+	"github.com/cuminwing/cuminwing/internal/gateway"
+)
+
+func documentWithStores(version uint64, addresses ...string) []byte {
+	d := &gateway.Document{
+		Version:  version,
+		Services: []gateway.Service{{Name: "s", Engine: &gateway.EngineLimits{CacheTokens: 1000, TokenBytes: 1000}}},
+	}
+	for _, address := range addresses {
+		d.Services = append(d.Services, gateway.Service{
+			Name: "store " + address, Store: &gateway.Store{Address: address, Zone: "z", Tokens: 1000, Rate: 1e9},
+		})
+	}
+	raw, err := json.Marshal(d)
+	if err != nil {
+		panic(err)
+	}
+	return raw
+}
+
+// Guards against fronts that keep directing engines to an unreachable store: each
+// request was delayed by some hundred milliseconds.
+func TestUnreachableStoreIsReportedToFronts(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	store := listener.Addr().String()
+	d := newDeployment(t, 1)
+	core := d.cores[0].core
+	eventually(t, "document", func() error {
+		return core.PutDocument(context.Background(), documentWithStores(1, store))
+	})
+	unreachable := func(known []string) ([]string, error) {
+		response, err := core.serveSync(context.Background(), 0, fleetsync.Request{VM: "f", DocumentVersion: 1, StoresLost: known})
+		return response.StoresLost, err
+	}
+	if got, err := unreachable(nil); err != nil || len(got) != 0 {
+		t.Fatalf("unreachable stores are %v, want none: %v", got, err)
+	}
+	_ = listener.Close()
+	want := func(want, known []string) func() error {
+		return func() error {
+			got, err := unreachable(known)
+			if err == nil && !slices.Equal(got, want) {
+				err = errors.New("unreachable stores not reported as expected")
+			}
+			return err
+		}
+	}
+	eventually(t, "report that the store is unreachable", want([]string{store}, nil))
+	if listener, err = net.Listen("tcp", store); err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	eventually(t, "report that the store is reachable again", want(nil, []string{store}))
+}
+
+// Guards against a single lost packet that makes a front discard its record of a
+// store's contents.
+func TestSingleFailedProbeDoesNotMakeStoreUnreachable(t *testing.T) {
+	health := newStoreHealth()
+	if health.recordProbe("a", false) || len(health.unreachable()) != 0 {
+		t.Error("store is unreachable after one failed probe")
+	}
+	if health.recordProbe("a", true) {
+		t.Error("recovery reported for a store that was never unreachable")
+	}
+	health.recordProbe("a", false)
+	if !health.recordProbe("a", false) || !slices.Equal(health.unreachable(), []string{"a"}) {
+		t.Errorf("unreachable stores are %v, want a", health.unreachable())
+	}
+	if !health.recordProbe("a", true) || len(health.unreachable()) != 0 {
+		t.Errorf("unreachable stores are %v after a successful probe, want none", health.unreachable())
+	}
+}
+
+// Guards against a front that ignores the unreachable stores that the leader
+// reports.
+func TestFrontExcludesUnreachableStores(t *testing.T) {
+	s := Settings{VM: "f", Region: "r", Regions: map[string]string{"z": "r"}, Bounds: testBounds()}
+	f := newFront(s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON})
+	f.applyResponse(time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, RawDocument: documentWithStores(1, "10.0.0.1:1", "10.0.0.2:1")})
+	f.applyResponse(2*time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, StoresLost: []string{"10.0.0.1:1"}})
+	table := f.state.Load().Table
+	if list := f.reachableStores(table); len(list) != 1 || list[0].Address != "10.0.0.2:1" {
+		t.Errorf("stores in use are %v", list)
+	}
+	f.applyResponse(3*time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1})
+	if list := f.reachableStores(table); len(list) != 2 {
+		t.Errorf("stores in use are %v after both are reachable again", list)
+	}
+}
--- a/internal/edge/coresync.go
+++ b/internal/edge/coresync.go
@@ -13,19 +13,19 @@
 	"github.com/cuminwing/cuminwing/internal/fleetsync"
 )
 
-// maxPeerBody bounds a call of another VM.
-const maxPeerBody = 1 << 20
+// maxPeerRequestBytes limits the body of a request from another VM.
+const maxPeerRequestBytes = 1 << 20
 
-func (c *Core) handleSync(mux *http.ServeMux) {
+func (c *Core) registerSync(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+fleetsync.Path, func(w http.ResponseWriter, r *http.Request) {
 		received := boottime.Now()
 		var request fleetsync.Request
 		if !readJSON(w, r, &request) {
 			return
 		}
-		response, err := c.sync(r.Context(), received, request)
+		response, err := c.serveSync(r.Context(), received, request)
 		if err != nil {
-			c.logger.Info("front not answered", zap.String("front", request.VM), zap.Error(err))
+			c.logger.Info("sync request of a front failed", zap.String("front", request.VM), zap.Error(err))
 			http.Error(w, "not confirmed", http.StatusServiceUnavailable)
 			return
 		}
@@ -33,9 +33,10 @@
 	})
 }
 
-// readJSON decodes a request, or answers that it cannot be read.
+// readJSON decodes the body of a request. If that fails, it responds with status
+// 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPeerBody)).Decode(into)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPeerRequestBytes)).Decode(into)
 	if err != nil {
 		http.Error(w, "request cannot be decoded: "+err.Error(), http.StatusBadRequest)
 		return false
@@ -45,63 +46,67 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A failure here means that the caller has gone.
+	// Encoding fails only if the client has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func (c *Core) sync(ctx context.Context, received time.Duration, request fleetsync.Request) (fleetsync.Response, error) {
-	led, leading := c.awaitLeadership(ctx)
+// serveSync handles the long poll of a front. Only the leader returns the state;
+// other members return the address of the leader. The state is read after a read
+// barrier, whose start the response states relative to received.
+func (c *Core) serveSync(ctx context.Context, received time.Duration, request fleetsync.Request) (fleetsync.Response, error) {
+	leader, leading := c.awaitLeadership(ctx)
 	if !leading {
 		return fleetsync.Response{Leader: c.leaderAddress(), Core: c.coreAddresses()}, nil
 	}
-	led.fronts.Seen(received, request)
-	if !request.Now {
-		c.await(ctx, request)
+	leader.fronts.RecordRequest(received, request)
+	if !request.NoWait {
+		c.awaitChange(ctx, request)
 	}
 	response := fleetsync.Response{
-		Self: true, Core: c.coreAddresses(),
-		LeaderAgeMS: float64(received-led.since) / float64(time.Millisecond),
+		IsLeader: true, Core: c.coreAddresses(),
+		LeaderAgeMS: float64(received-leader.electedAt) / float64(time.Millisecond),
 	}
-	response.Shares = led.divider.Report(boottime.Now(), request.VM, request.Incarnation, request.Shares)
-	response.VMs = led.divider.VMs()
-	response.Fronts, response.FrontsVersion = led.fronts.List(request)
-	started := boottime.Now()
-	if err := c.confirmer.confirm(ctx); err != nil {
+	response.Shares = leader.divider.Report(boottime.Now(), request.VM, request.Incarnation, request.Shares)
+	response.FrontCount = leader.divider.VMs()
+	response.Fronts, response.FrontsVersion = leader.fronts.Peers(request)
+	barrierStarted := boottime.Now()
+	if err := c.barriers.wait(ctx); err != nil {
 		return fleetsync.Response{}, err
 	}
-	response.ConfirmedAfterMS = float64(started-received) / float64(time.Millisecond)
-	c.fill(&response, request)
+	response.ConfirmedAfterMS = float64(barrierStarted-received) / float64(time.Millisecond)
+	c.addChanges(&response, request)
 	return response, nil
 }
 
-// awaitLeadership waits while this replica has been elected and has not taken
-// over.
+// awaitLeadership returns the leader state. If this replica has been elected but
+// has not established its leadership yet, it waits for that.
 func (c *Core) awaitLeadership(ctx context.Context) (leadership, bool) {
 	for {
-		changed := c.change()
-		led, leading := c.leadership()
-		if leading || led.since == 0 {
-			return led, leading
+		changed := c.changeSignal()
+		leader, leading := c.leadership()
+		if leading || leader.electedAt == 0 {
+			return leader, leading
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return led, false
+			return leader, false
 		case <-c.ctx.Done():
-			return led, false
+			return leader, false
 		}
 	}
 }
 
-// await returns when something has changed for the front, or after the hold.
-func (c *Core) await(ctx context.Context, request fleetsync.Request) {
-	timer := time.NewTimer(fleetsync.Hold)
+// awaitChange blocks until the state that the front has is outdated, for at most
+// fleetsync.MaxWait.
+func (c *Core) awaitChange(ctx context.Context, request fleetsync.Request) {
+	timer := time.NewTimer(fleetsync.MaxWait)
 	defer timer.Stop()
 	for {
-		changed := c.change()
-		news := c.document.Current().Version > request.Document || c.fleet.Current().Revision > request.Revision ||
-			!slices.Equal(c.stores.lost(), request.StoresLost)
-		if _, leading := c.leadership(); news || !leading {
+		changed := c.changeSignal()
+		outdated := c.document.Current().Version > request.DocumentVersion || c.registry.Current().Revision > request.Revision ||
+			!slices.Equal(c.storeHealth.unreachable(), request.StoresLost)
+		if _, leading := c.leadership(); outdated || !leading {
 			return
 		}
 		select {
@@ -116,14 +121,16 @@
 	}
 }
 
-func (c *Core) fill(response *fleetsync.Response, request fleetsync.Request) {
-	response.StoresLost = c.stores.lost()
-	if stored := c.document.Current(); stored.Version > request.Document {
-		response.Document = stored.Version
-		response.Raw = stored.Raw
+// addChanges adds to a response what has changed since the state that the front
+// has.
+func (c *Core) addChanges(response *fleetsync.Response, request fleetsync.Request) {
+	response.StoresLost = c.storeHealth.unreachable()
+	if stored := c.document.Current(); stored.Version > request.DocumentVersion {
+		response.DocumentVersion = stored.Version
+		response.RawDocument = stored.Raw
 	}
-	if state := c.fleet.Current(); state.Revision > request.Revision {
-		delta := state.Since(request.Revision)
+	if state := c.registry.Current(); state.Revision > request.Revision {
+		delta := state.DeltaSince(request.Revision)
 		response.Fleet = &delta
 	}
 }
--- a/internal/edge/coreweights.go
+++ b/internal/edge/coreweights.go
@@ -15,69 +15,75 @@
 )
 
 const (
-	// weightsInterval is the time between two looks at the engines' weights.
-	weightsInterval = 50 * time.Millisecond
-	// weightsIdle is the interval while all engines run what they should.
-	weightsIdle = 250 * time.Millisecond
-	// engineTimeout bounds one call to an engine.
-	engineTimeout = 600 * time.Millisecond
-	// holderMargin is added to the lease of order holders, for an order of the
-	// earlier holder that was on its way when its lease ended.
-	holderMargin = 600 * time.Millisecond
+	// weightsUpdateInterval is the time between two rounds of the roll-out while
+	// an update is in progress.
+	weightsUpdateInterval = 50 * time.Millisecond
+	// weightsIdleInterval is that time while all engines run the required
+	// weights.
+	weightsIdleInterval = 250 * time.Millisecond
+	// engineCallTimeout limits one call to an engine.
+	engineCallTimeout = 600 * time.Millisecond
+	// leaseMargin is added to the lease of the order holder. It covers an order
+	// of the previous holder that was in flight when its lease expired.
+	leaseMargin = 600 * time.Millisecond
 )
 
-// updateWeights is the duty of the holder of orders, which is the leader.
+// updateWeights rolls out weights to the engines. Only the holder of the order
+// lease does so, which is the leader.
 func (c *Core) updateWeights(ctx context.Context) {
-	w := &weightsDuty{core: c}
-	interval := weightsIdle
+	w := &weightsUpdater{core: c}
+	interval := weightsIdleInterval
 	for pause.For(ctx, interval) {
-		interval = weightsIdle
-		if w.round(ctx) {
-			interval = weightsInterval
+		interval = weightsIdleInterval
+		if w.runDueActions(ctx) {
+			interval = weightsUpdateInterval
 		}
 	}
 }
 
-// weightsDuty carries out the plan of roll-outs.
-type weightsDuty struct {
-	core *Core
-	mu   sync.Mutex
-	plan *rollout.Planner
-	// leading is the leadership that plan belongs to.
-	leading time.Duration
-	// orders is the number of orders that each engine has accepted.
-	orders map[string]uint64
+// weightsUpdater executes the actions of the roll-out planner.
+type weightsUpdater struct {
+	core    *Core
+	mu      sync.Mutex
+	planner *rollout.Planner
+	// electedAt is the election time of the leadership that planner belongs
+	// to.
+	electedAt time.Duration
+	// accepted is the number of orders that each engine has accepted, by
+	// target ID.
+	accepted map[string]uint64
 }
 
-// round carries out what is due and reports whether an update is in progress.
-func (w *weightsDuty) round(ctx context.Context) bool {
+// runDueActions executes the actions that are due, and reports whether an update
+// is in progress.
+func (w *weightsUpdater) runDueActions(ctx context.Context) bool {
 	now := boottime.Now()
-	led, leading := w.core.leadership()
-	since := led.since
+	leader, leading := w.core.leadership()
+	electedAt := leader.electedAt
 	if !leading || !w.core.replica.HoldsLease() {
 		return false
 	}
-	ordersFrom := since + w.core.settings.Bounds.HolderLease + holderMargin
+	ordersFrom := electedAt + w.core.settings.Bounds.HolderLease + leaseMargin
 	if now < ordersFrom-rollout.DrainWait {
 		return false
 	}
 	w.mu.Lock()
-	if w.plan == nil || w.leading != since {
-		w.plan, w.leading, w.orders = rollout.New(), since, make(map[string]uint64)
+	if w.planner == nil || w.electedAt != electedAt {
+		w.planner, w.electedAt, w.accepted = rollout.New(), electedAt, make(map[string]uint64)
 	}
-	actions := w.plan.Plan(now, ordersFrom, w.core.fleet.Current())
+	actions := w.planner.Plan(now, ordersFrom, w.core.registry.Current())
 	w.mu.Unlock()
-	w.mark(ctx, actions)
+	w.commitMarks(ctx, actions)
 	for _, a := range actions {
 		if a.Step == rollout.Order || a.Step == rollout.Check {
-			w.call(ctx, a)
+			w.callEngine(ctx, a)
 		}
 	}
-	return len(actions) > 0 || w.updating()
+	return len(actions) > 0 || w.updateInProgress()
 }
 
-func (w *weightsDuty) updating() bool {
-	for _, t := range w.core.fleet.Current().Targets {
+func (w *weightsUpdater) updateInProgress() bool {
+	for _, t := range w.core.registry.Current().Targets {
 		if t.Updating {
 			return true
 		}
@@ -85,15 +91,15 @@
 	return false
 }
 
-// mark commits the marks that are set and taken back, in one command.
-func (w *weightsDuty) mark(ctx context.Context, actions []rollout.Action) {
-	var updates []fleet.Update
+// commitMarks sets and clears the update marks of engines in one command.
+func (w *weightsUpdater) commitMarks(ctx context.Context, actions []rollout.Action) {
+	var updates []fleet.UpdateMark
 	for _, a := range actions {
 		switch a.Step {
 		case rollout.Mark:
-			updates = append(updates, fleet.Update{ID: a.Target.ID, Updating: true})
+			updates = append(updates, fleet.UpdateMark{ID: a.Target.ID, Updating: true})
 		case rollout.Release:
-			updates = append(updates, fleet.Update{ID: a.Target.ID, Weights: a.Weights})
+			updates = append(updates, fleet.UpdateMark{ID: a.Target.ID, Weights: a.Weights})
 		}
 	}
 	if len(updates) == 0 {
@@ -105,50 +111,51 @@
 			zap.Uint64("weights", u.Weights), zap.Error(err))
 		if err == nil && !u.Updating {
 			w.mu.Lock()
-			w.plan.Released(u.ID)
+			w.planner.Released(u.ID)
 			w.mu.Unlock()
 		}
 	}
 }
 
-// call speaks with one engine without holding up the others.
-func (w *weightsDuty) call(ctx context.Context, a rollout.Action) {
+// callEngine sends an order, if one is due, and fetches the report of an engine.
+// It does so in the background, so that a slow engine does not delay the others.
+func (w *weightsUpdater) callEngine(ctx context.Context, a rollout.Action) {
 	w.mu.Lock()
-	plan, after := w.plan, w.orders[a.Target.ID]
+	planner, after := w.planner, w.accepted[a.Target.ID]
 	w.mu.Unlock()
-	w.core.duties.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	w.core.tasks.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 		defer cancel()
 		if a.Step == rollout.Order {
-			w.order(ctx, a, after)
+			w.sendOrder(ctx, a, after)
 		}
 		report, err := w.core.engines.Report(ctx, a.Target)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if err != nil {
-			w.core.logger.Info("engine did not report", zap.String("target", a.Target.ID), zap.Error(err))
-			plan.Silent(boottime.Now(), a.Target.ID)
+			w.core.logger.Info("fetching the report of an engine failed", zap.String("target", a.Target.ID), zap.Error(err))
+			planner.Silent(boottime.Now(), a.Target.ID)
 			return
 		}
-		w.orders[a.Target.ID] = report.Orders
-		plan.Answered(boottime.Now(), a.Target.ID, rollout.State{
+		w.accepted[a.Target.ID] = report.Orders
+		planner.Answered(boottime.Now(), a.Target.ID, rollout.State{
 			Weights: report.Weights[a.Target.Model], Busy: report.Busy, Requests: report.Requests,
 		})
 	})
 }
 
-// order tells an engine to change its weights.
-func (w *weightsDuty) order(ctx context.Context, a rollout.Action, after uint64) {
+// sendOrder orders an engine to change its weights.
+func (w *weightsUpdater) sendOrder(ctx context.Context, a rollout.Action, after uint64) {
 	order := WeightsOrder{
 		Model: a.Target.Model, Version: a.Weights, Holder: w.core.settings.VM,
 		Fence: w.core.replica.Status().Term, After: after,
 	}
-	// The lease is checked last: an order after its end could cross one of
-	// the next holder.
+	// The lease is checked immediately before the call: an order sent after
+	// the lease has expired could conflict with one of the next holder.
 	if !w.core.replica.HoldsLease() {
 		return
 	}
 	err := w.core.engines.SetWeights(ctx, a.Target, order)
-	w.core.logger.Info("weights ordered", zap.String("target", a.Target.ID), zap.String("model", order.Model),
+	w.core.logger.Info("weights order sent", zap.String("target", a.Target.ID), zap.String("model", order.Model),
 		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.Fence), zap.Uint64("after", after), zap.Error(err))
 }
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -23,44 +23,52 @@
 )
 
 const (
-	// keyMargin is taken off the time for which keys are taken without a new
-	// confirmation; it covers a request that waits inside this process.
-	keyMargin = 500 * time.Millisecond
-	// readyAge is how old the confirmed state may be while the front calls
-	// itself ready. It outlasts a change of leader.
-	readyAge = 4200 * time.Millisecond
-	// firstState is how long after its start a front expects its first state,
-	// and regainState how long it expects a lost core back after it has
-	// stopped taking keys. Beyond that callers are told at once to go.
-	firstState  = 3 * time.Second
-	regainState = time.Second
-	// firstServe bounds how long a start waits for the state before callers
-	// are told to come back.
-	firstServe = 400 * time.Millisecond
-	// notReadyLead is the time between the first check that the load balancer
-	// sees fail and the close of the listener: two checks a second apart, and
-	// the connections already on their way.
-	notReadyLead = 2600 * time.Millisecond
-	// graceMargin is left of the grace time when the process ends.
+	// keyValidityMargin is subtracted from the time for which keys are accepted
+	// after the last confirmation by a quorum. It covers a request that is
+	// queued in this process.
+	keyValidityMargin = 500 * time.Millisecond
+	// maxReadyStateAge is the age of the confirmed state above which the front
+	// fails its readiness check. It is longer than a change of leader takes.
+	maxReadyStateAge = 4200 * time.Millisecond
+	// initialStateTimeout is how long after its start a front expects the first
+	// state. coreRecoveryTimeout is how long it expects an unreachable core to
+	// recover after keys are no longer accepted. After these times requests
+	// are rejected at once instead of waiting for the state.
+	initialStateTimeout = 3 * time.Second
+	coreRecoveryTimeout = time.Second
+	// initialSyncWait limits how long a starting front waits for the state
+	// before it accepts connections. Without the state, clients are told to
+	// retry.
+	initialSyncWait = 400 * time.Millisecond
+	// drainDelay is the time from failing the readiness check to closing the
+	// listener. It covers two checks of the load balancer, a second apart, and
+	// the connections that it has already routed here.
+	drainDelay = 2600 * time.Millisecond
+	// graceMargin is the part of the grace period that is left unused when the
+	// process exits.
 	graceMargin = 600 * time.Millisecond
-	// findInterval is the time between two looks at targets that could not be
-	// reached. The connection that is opened is used by the next request.
-	findInterval = 300 * time.Millisecond
-	// sweepInterval is the time between two looks at idle connections.
+	// targetProbeInterval is the time between two probes of an unreachable
+	// target. The next request reuses the connection that a probe opens.
+	targetProbeInterval = 300 * time.Millisecond
+	// sweepInterval is the time between two sweeps of the idle connections.
 	sweepInterval = time.Second
-	// headerBytes bounds the headers of a request while the document states
-	// no limit.
-	headerBytes = 64 << 10
-	// idleSlack is added to the idle limit of callers' connections, so that a
-	// request does not cross the close.
-	idleSlack = 2 * time.Second
-	// defaultIdle is the idle limit while there is no document.
-	defaultIdle = 15 * time.Second
-	// defaultHeaderTimeout bounds how long a caller may take for its headers.
+	// defaultMaxHeaderBytes limits the headers of a request if the document
+	// sets no limit.
+	defaultMaxHeaderBytes = 64 << 10
+	// idleTimeoutMargin is added to the idle timeout of client connections. It
+	// avoids the race between a new request and the close of an idle
+	// connection.
+	idleTimeoutMargin = 2 * time.Second
+	// defaultIdleTimeout is the idle timeout of client connections if the
+	// document sets none.
+	defaultIdleTimeout = 15 * time.Second
+	// defaultHeaderTimeout limits the time to read the headers of a request if
+	// the document sets no limit.
 	defaultHeaderTimeout = 3 * time.Second
 )
 
-// Front is one process that takes requests.
+// Front is a front process: it accepts requests from clients and forwards them
+// to targets.
 type Front struct {
 	settings Settings
 	logger   *zap.Logger
@@ -71,53 +79,60 @@
 	counters *metrics.Set
 	handler  *forward.Handler
 	client   *http.Client
-	started  int64
-	// booted is the start of the process on the clock of leases.
-	booted time.Duration
+	// incarnation identifies this run of the process: its start in Unix
+	// milliseconds.
+	incarnation int64
+	// startedAt is the start of the process on the boot clock, which leases
+	// use as well.
+	startedAt time.Duration
 
-	state    atomic.Pointer[forward.State]
-	registry *fleet.State
-	peers    *frontPeers
-	stale    *staleness
-	// pendingWeights is set while an engine has older weights than named.
-	pendingWeights bool
-	// storesLost are the stores that the leader cannot reach.
-	storesLost []string
-	// leader is the one that has answered last.
-	leader leaderView
-	synced chan struct{}
-	once   sync.Once
-	// granted is set once the front has its parts of the rates.
-	granted  atomic.Bool
-	stopping atomic.Bool
+	state        atomic.Pointer[forward.State]
+	registry     *fleet.State
+	peers        *frontPeers
+	staleWeights *staleWeightsFilter
+	// weightsPending is set while an engine is being updated or runs older
+	// weights than required.
+	weightsPending bool
+	// unreachableStores are the addresses of stores that the leader cannot
+	// reach.
+	unreachableStores []string
+	// leader is the leader that has responded last.
+	leader leaderInfo
+	// synced is closed once the front has received its first complete state.
+	synced     chan struct{}
+	syncedOnce sync.Once
+	// sharesReceived is set once the front has its shares of the workspace rates.
+	sharesReceived atomic.Bool
+	stopping       atomic.Bool
 }
 
-// FrontOptions are the ports of a front process.
+// FrontOptions are the dependencies of a front process.
 type FrontOptions struct {
 	Logger *zap.Logger
 	Decode Decoder
 	Codec  forward.Codec
 }
 
-// RunFront runs a front process until ctx ends and its requests are answered.
+// RunFront runs a front process until ctx is done. It returns after the requests
+// in flight have completed.
 func RunFront(ctx context.Context, s Settings, options FrontOptions) error {
 	f := newFront(s, options)
 	serveMetrics(&s, f.logger)
-	duties, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	var running sync.WaitGroup
-	defer running.Wait()
+	taskCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	defer cancel()
-	running.Go(func() { f.follow(duties) })
-	running.Go(func() { f.sweep(duties) })
-	running.Go(func() { f.findLost(duties) })
-	if err := f.exchange(duties, &running); err != nil {
+	tasks.Go(func() { f.followCore(taskCtx) })
+	tasks.Go(func() { f.sweepConnections(taskCtx) })
+	tasks.Go(func() { f.probeUnreachableTargets(taskCtx) })
+	if err := f.startPeerExchange(taskCtx, &tasks); err != nil {
 		return err
 	}
 	listener, err := listen(s.FrontAddress)
 	if err != nil {
-		return errors.Wrap(err, "listen for callers")
+		return errors.Wrap(err, "listen for clients")
 	}
-	ready, err := f.serveReady()
+	ready, err := f.serveReadiness()
 	if err != nil {
 		return err
 	}
@@ -131,58 +146,60 @@
 func newFront(s Settings, options FrontOptions) *Front {
 	f := &Front{
 		settings: s, logger: options.Logger, decode: options.Decode,
-		placer:   placement.New(s.Zone, s.Region, time.Now),
-		peers:    &frontPeers{},
-		stale:    newStaleness(s.Bounds.Weights - weightsMargin),
-		shares:   ratelimit.NewShares(s.Bounds.Quota),
-		pool:     targetconn.New(),
-		counters: metrics.New(s.VM),
-		client:   peerClient(),
-		started:  time.Now().UnixMilli(),
-		booted:   boottime.Now(),
-		registry: fleet.NewState(),
-		synced:   make(chan struct{}),
+		placer:       placement.New(s.Zone, s.Region, time.Now),
+		peers:        &frontPeers{},
+		staleWeights: newStaleWeightsFilter(s.Bounds.Weights - staleWeightsMargin),
+		shares:       ratelimit.NewShares(s.Bounds.Quota),
+		pool:         targetconn.New(),
+		counters:     metrics.New(s.VM),
+		client:       peerClient(),
+		incarnation:  time.Now().UnixMilli(),
+		startedAt:    boottime.Now(),
+		registry:     fleet.NewState(),
+		synced:       make(chan struct{}),
 	}
 	f.counters.Gauge("connections_opened", func() any { return f.pool.Opened() })
 	f.counters.Gauge("confirmed_age_ms", func() any { return (boottime.Now() - f.state.Load().Confirmed).Milliseconds() })
 	f.state.Store(&forward.State{Confirmed: -time.Hour})
 	f.handler = &forward.Handler{
-		Codec: options.Codec, State: f.serving,
+		Codec: options.Codec, State: f.servingState,
 		Placer: f.placer, Quota: f.shares, Pool: f.pool, Logger: f.logger, Boot: boottime.Now,
-		KeysValid: s.Bounds.Revoke - keyMargin, StateSoon: f.stateSoon, Stopping: f.stopping.Load, Observe: f.observe,
+		KeysValid: s.Bounds.Revoke - keyValidityMargin, StateSoon: f.stateExpected, Stopping: f.stopping.Load, Observe: f.recordRequest,
 		Budget: &forward.Budget{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow},
 	}
 	return f
 }
 
-// kindNames name the kinds of run in counters.
-var kindNames = map[gateway.RunKind]string{
+// kindLabels are the names of the run kinds in metrics.
+var kindLabels = map[gateway.RunKind]string{
 	gateway.RunOnce: "once", gateway.RunIdempotent: "idempotent", gateway.RunStream: "stream",
 }
 
-func (f *Front) observe(kind gateway.RunKind, code string, took time.Duration) {
-	name := kindNames[kind]
+// recordRequest counts a completed request and its latency.
+func (f *Front) recordRequest(kind gateway.RunKind, code string, took time.Duration) {
+	name := kindLabels[kind]
 	f.counters.Add("requests_"+name+"_"+code, 1)
 	f.counters.Add("request_time_"+name+"_"+latencyBucket(took), 1)
 }
 
-// stateSoon reports whether the core is expected to answer soon.
-func (f *Front) stateSoon() bool {
-	state := f.serving()
+// stateExpected reports whether the core is expected to respond soon, so that a
+// request should wait for a usable state.
+func (f *Front) stateExpected() bool {
+	state := f.servingState()
 	if state.Table == nil {
-		return boottime.Now()-f.booted < firstState
+		return boottime.Now()-f.startedAt < initialStateTimeout
 	}
-	return boottime.Now()-state.Confirmed < f.handler.KeysValid+regainState
+	return boottime.Now()-state.Confirmed < f.handler.KeysValid+coreRecoveryTimeout
 }
 
-// serveReady answers the checks of the load balancer.
-func (f *Front) serveReady() (*http.Server, error) {
+// serveReadiness starts the server for the load balancer's readiness checks.
+func (f *Front) serveReadiness() (*http.Server, error) {
 	listener, err := listen(f.settings.ReadyAddress)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for checks")
+		return nil, errors.Wrap(err, "listen for readiness checks")
 	}
 	mux := http.NewServeMux()
-	addMetrics(mux)
+	registerMetrics(mux)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		if !f.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -194,38 +211,39 @@
 }
 
 func (f *Front) ready() bool {
-	state := f.serving()
-	return !f.stopping.Load() && state.Table != nil && boottime.Now()-state.Confirmed < readyAge
+	state := f.servingState()
+	return !f.stopping.Load() && state.Table != nil && boottime.Now()-state.Confirmed < maxReadyStateAge
 }
 
-// serve takes callers until ctx ends, and then answers what is under way.
+// serve accepts client connections until ctx is done. It then fails the readiness
+// check and drains the requests in flight.
 func (f *Front) serve(ctx context.Context, listener net.Listener) {
 	select {
 	case <-f.synced:
-	case <-time.After(firstServe):
+	case <-time.After(initialSyncWait):
 	case <-ctx.Done():
 	}
-	server := f.callerServer()
+	server := f.newServer()
 	go serveUntilClosed(f.logger, server, listener)
 	<-ctx.Done()
-	begun := time.Now()
+	stopStarted := time.Now()
 	f.stopping.Store(true)
 	f.logger.Info("front stops", zap.String("reason", "signal"))
-	time.Sleep(notReadyLead)
-	deadline, cancel := context.WithDeadline(context.Background(), begun.Add(f.settings.Bounds.Grace-graceMargin))
+	time.Sleep(drainDelay)
+	deadline, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Bounds.Grace-graceMargin))
 	defer cancel()
 	if err := server.Shutdown(deadline); err != nil {
-		f.logger.Warn("requests were cut off at the end of the grace time", zap.Error(err))
+		f.logger.Warn("grace period ended with requests in flight; closing their connections", zap.Error(err))
 		_ = server.Close()
 	}
 }
 
-// callerServer returns the server for callers, with the limits of the document
-// that is in force at the start.
-func (f *Front) callerServer() *http.Server {
+// newServer returns the HTTP server for clients, with the limits of the document
+// in force at the start.
+func (f *Front) newServer() *http.Server {
 	server := &http.Server{
-		Handler: f.handler, MaxHeaderBytes: headerBytes,
-		ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdle + idleSlack,
+		Handler: f.handler, MaxHeaderBytes: defaultMaxHeaderBytes,
+		ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout + idleTimeoutMargin,
 		ErrorLog: zap.NewStdLog(f.logger),
 	}
 	state := f.state.Load()
@@ -234,7 +252,7 @@
 	}
 	limits := state.Table.Document.Limits
 	if limits.IdleTimeout > 0 {
-		server.IdleTimeout = limits.IdleTimeout + idleSlack
+		server.IdleTimeout = limits.IdleTimeout + idleTimeoutMargin
 	}
 	if limits.HeaderTimeout > 0 {
 		server.ReadHeaderTimeout = limits.HeaderTimeout
@@ -245,19 +263,20 @@
 	return server
 }
 
-// findLost looks for targets that could not be reached, so that no request has
-// to find out whether they are back.
-func (f *Front) findLost(ctx context.Context) {
-	for pause.For(ctx, findInterval) {
-		var waiting sync.WaitGroup
+// probeUnreachableTargets probes targets that could not be reached, so that no
+// request is spent on finding out whether they are reachable again.
+func (f *Front) probeUnreachableTargets(ctx context.Context) {
+	for pause.For(ctx, targetProbeInterval) {
+		var probes sync.WaitGroup
 		for _, t := range f.placer.Paused() {
-			waiting.Go(func() { f.tryTarget(ctx, t) })
+			probes.Go(func() { f.probeTarget(ctx, t) })
 		}
-		waiting.Wait()
+		probes.Wait()
 	}
 }
 
-func (f *Front) tryTarget(ctx context.Context, t placement.Target) {
+// probeTarget connects to a target and returns it to placement if that succeeds.
+func (f *Front) probeTarget(ctx context.Context, t placement.Target) {
 	if err := f.pool.Try(ctx, t.Address); err != nil {
 		return
 	}
@@ -265,8 +284,8 @@
 	f.logger.Info("target regained", zap.String("target", t.ID), zap.String("address", t.Address))
 }
 
-// sweep closes connections that are not needed any more.
-func (f *Front) sweep(ctx context.Context) {
+// sweepConnections closes the idle connections that are no longer needed.
+func (f *Front) sweepConnections(ctx context.Context) {
 	for pause.For(ctx, sweepInterval) {
 		live := make(map[string]bool)
 		for _, t := range f.placer.Targets() {
--- a/internal/edge/frontpeers.go
+++ b/internal/edge/frontpeers.go
@@ -14,42 +14,44 @@
 )
 
 const (
-	// gather is how long sends collect before the other fronts are told. It is
-	// short against the time that an engine needs for a prompt.
-	gather = 8 * time.Millisecond
-	// maxDatagram bounds what is read of a datagram.
-	maxDatagram = 2048
+	// announceDelay is how long a front batches its dispatches to engines
+	// before it announces them to the other fronts. It is short compared with
+	// the time that an engine needs to process a prompt.
+	announceDelay = 8 * time.Millisecond
+	// maxDatagramBytes limits the part of a datagram that is read.
+	maxDatagramBytes = 2048
 )
 
-// frontPeers are the fronts that tell each other what they send to engines.
+// frontPeers is the list of fronts that exchange announcements of their
+// dispatches to engines.
 type frontPeers struct {
-	mu        sync.Mutex
-	addresses []netip.AddrPort
-	known     map[netip.AddrPort]bool
-	list      uint64
+	mu          sync.Mutex
+	addresses   []netip.AddrPort
+	members     map[netip.AddrPort]bool
+	listVersion uint64
 }
 
 func (p *frontPeers) version() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list
+	return p.listVersion
 }
 
-// update takes a new list. An address that cannot be read is left out: its
-// front is not told anything, which costs a little placement only.
+// update replaces the list. An address that cannot be parsed is skipped: its
+// front gets no announcements, which only makes its placement slightly worse.
 func (p *frontPeers) update(addresses []string, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if version == p.list {
+	if version == p.listVersion {
 		return
 	}
-	p.list = version
+	p.listVersion = version
 	p.addresses = nil
-	p.known = make(map[netip.AddrPort]bool)
+	p.members = make(map[netip.AddrPort]bool)
 	for _, address := range addresses {
 		if a, err := netip.ParseAddrPort(address); err == nil {
 			p.addresses = append(p.addresses, a)
-			p.known[a] = true
+			p.members[a] = true
 		}
 	}
 }
@@ -60,47 +62,49 @@
 	return p.addresses
 }
 
-func (p *frontPeers) includes(a netip.AddrPort) bool {
+func (p *frontPeers) contains(a netip.AddrPort) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[a]
+	return p.members[a]
 }
 
-// exchange starts the duties that tell other fronts what this one sends, and
-// take what they send.
-func (f *Front) exchange(ctx context.Context, running *sync.WaitGroup) error {
-	address, err := net.ResolveUDPAddr("udp4", f.settings.ownPeer())
+// startPeerExchange starts the tasks that send this front's announcements to its
+// peers and receive theirs.
+func (f *Front) startPeerExchange(ctx context.Context, tasks *sync.WaitGroup) error {
+	address, err := net.ResolveUDPAddr("udp4", f.settings.selfPeerAddress())
 	if err != nil {
-		return errors.Wrap(err, "address for datagrams")
+		return errors.Wrap(err, "resolve the address for datagrams")
 	}
 	conn, err := net.ListenUDP("udp4", address)
 	if err != nil {
 		return errors.Wrap(err, "listen for datagrams")
 	}
 	context.AfterFunc(ctx, func() { _ = conn.Close() })
-	running.Go(func() { f.announce(ctx, conn) })
-	running.Go(func() { f.listenToPeers(ctx, conn) })
+	tasks.Go(func() { f.announceToPeers(ctx, conn) })
+	tasks.Go(func() { f.receiveFromPeers(ctx, conn) })
 	return nil
 }
 
-func (f *Front) announce(ctx context.Context, conn *net.UDPConn) {
+// announceToPeers sends batches of this front's dispatches to all peers.
+func (f *Front) announceToPeers(ctx context.Context, conn *net.UDPConn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-f.placer.Announcements():
 		}
-		if !pause.For(ctx, gather) {
+		if !pause.For(ctx, announceDelay) {
 			return
 		}
 		for _, packet := range f.placer.TakeSent() {
-			f.send(conn, packet)
+			f.sendToPeers(conn, packet)
 		}
 	}
 }
 
-// send tells all peers. A packet that cannot be sent is a lost hint.
-func (f *Front) send(conn *net.UDPConn, packet []byte) {
+// sendToPeers sends a packet to all peers. Announcements are only hints, so a
+// packet that cannot be sent is counted and dropped.
+func (f *Front) sendToPeers(conn *net.UDPConn, packet []byte) {
 	for _, peer := range f.peers.all() {
 		if _, err := conn.WriteToUDPAddrPort(packet, peer); err != nil {
 			f.counters.Add("peer_packets_failed", 1)
@@ -108,18 +112,20 @@
 	}
 }
 
-func (f *Front) listenToPeers(ctx context.Context, conn *net.UDPConn) {
-	buffer := make([]byte, maxDatagram)
+// receiveFromPeers passes the peers' announcements to placement. It ignores
+// datagrams from other addresses.
+func (f *Front) receiveFromPeers(ctx context.Context, conn *net.UDPConn) {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				f.logger.Warn("datagram not read", zap.Error(err))
+				f.logger.Warn("reading a datagram failed", zap.Error(err))
 				pause.For(ctx, time.Second)
 			}
 			continue
 		}
-		if f.peers.includes(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())) {
+		if f.peers.contains(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())) {
 			f.placer.Hint(buffer[:n])
 		}
 	}
--- a/internal/edge/frontsync.go
+++ b/internal/edge/frontsync.go
@@ -18,23 +18,27 @@
 )
 
 const (
-	// syncTimeout bounds one call to the core beyond the time that it is held.
-	syncTimeout = fleetsync.Hold + 700*time.Millisecond
-	// idlePart is the part of the connections that a target accepts which the
-	// fronts keep idle; the rest is for bursts and for other callers.
-	idlePart    = 0.7
-	msPerSecond = 1000
-	// syncPause is the pause after a core VM that could not help.
-	syncPause = 60 * time.Millisecond
+	// syncTimeout limits one call to the core: the time that the leader may
+	// hold it, and 700 ms.
+	syncTimeout = fleetsync.MaxWait + 700*time.Millisecond
+	// idleConnectionFraction is the fraction of a target's connection limit
+	// that all fronts together keep as idle connections. The rest is left for
+	// bursts and for other clients of the target.
+	idleConnectionFraction = 0.7
+	msPerSecond            = 1000
+	// syncRetryDelay is the delay before the next call after a core VM failed or
+	// named no other leader.
+	syncRetryDelay = 60 * time.Millisecond
 )
 
-// follow keeps the state of the front up to date.
-func (f *Front) follow(ctx context.Context) {
-	finder := newLeaderFinder(f.settings.seedPeers(), func() []string { return f.settings.currentSeeds(f.logger) })
+// followCore keeps the state of the front up to date by long polls to the leader
+// of the core.
+func (f *Front) followCore(ctx context.Context) {
+	finder := newLeaderFinder(f.settings.seedPeerAddresses(), func() []string { return f.settings.reloadSeedPeerAddresses(f.logger) })
 	lost := false
 	for ctx.Err() == nil {
 		address := finder.next()
-		response, sent, err := f.ask(ctx, address)
+		response, sentAt, err := f.poll(ctx, address)
 		switch {
 		case err != nil:
 			finder.failed(address)
@@ -42,11 +46,11 @@
 				f.logger.Info("core lost", zap.String("asked", address), zap.Error(err))
 			}
 			lost = true
-			pause.For(ctx, syncPause)
-		case !response.Self:
+			pause.For(ctx, syncRetryDelay)
+		case !response.IsLeader:
 			finder.redirected(address, response)
 			if response.Leader == "" || response.Leader == address {
-				pause.For(ctx, syncPause)
+				pause.For(ctx, syncRetryDelay)
 			}
 		default:
 			if lost {
@@ -54,35 +58,35 @@
 			}
 			lost = false
 			finder.found(address, response)
-			f.pendingWeights = f.pendingWeights || f.leader.address != address
+			f.weightsPending = f.weightsPending || f.leader.address != address
 			age := time.Duration(response.LeaderAgeMS * float64(time.Millisecond))
-			f.leader = leaderView{address: address, since: sent - age}
-			f.take(sent, response)
+			f.leader = leaderInfo{address: address, electedAt: sentAt - age}
+			f.applyResponse(sentAt, response)
 		}
 	}
 }
 
-// ask makes one call and returns when it was sent.
-func (f *Front) ask(ctx context.Context, address string) (fleetsync.Response, time.Duration, error) {
+// poll makes one sync call. It also returns when the call was sent.
+func (f *Front) poll(ctx context.Context, address string) (fleetsync.Response, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	state := f.state.Load()
 	request := fleetsync.Request{
-		VM: f.settings.VM, Incarnation: f.started, Revision: f.registry.Revision,
-		Now: state.Table != nil && !f.granted.Load(), Address: f.settings.ownPeer(), Region: f.settings.Region, Fronts: f.peers.version(), StoresLost: f.storesLost,
+		VM: f.settings.VM, Incarnation: f.incarnation, Revision: f.registry.Revision,
+		NoWait: state.Table != nil && !f.sharesReceived.Load(), Address: f.settings.selfPeerAddress(), Region: f.settings.Region, FrontsVersion: f.peers.version(), StoresLost: f.unreachableStores,
 	}
 	if state.Table != nil {
-		request.Document = state.Table.Document.Version
-		request.Shares = f.shares.Report(boottime.Now(), limited(state.Table.Document))
+		request.DocumentVersion = state.Table.Document.Version
+		request.Shares = f.shares.Report(boottime.Now(), rateLimitedWorkspaces(state.Table.Document))
 	}
-	sent := boottime.Now()
+	sentAt := boottime.Now()
 	var response fleetsync.Response
 	err := postJSON(ctx, f.client, "http://"+address+fleetsync.Path, request, &response)
-	return response, sent, err
+	return response, sentAt, err
 }
 
-// limited lists the workspaces that have a rate.
-func limited(d *gateway.Document) []string {
+// rateLimitedWorkspaces returns the names of the workspaces that have a rate.
+func rateLimitedWorkspaces(d *gateway.Document) []string {
 	var names []string
 	for i := range d.Workspaces {
 		if d.Workspaces[i].Rate > 0 {
@@ -92,74 +96,80 @@
 	return names
 }
 
-// take puts what the leader has said in force. Versions only rise.
-func (f *Front) take(sent time.Duration, response fleetsync.Response) {
+// applyResponse updates the state from a response of the leader. It ignores
+// versions and revisions older than those it has.
+func (f *Front) applyResponse(sentAt time.Duration, response fleetsync.Response) {
 	next := *f.state.Load()
-	next.Fronts = response.VMs
-	table, err := f.newTable(next.Table, response)
+	next.Fronts = response.FrontCount
+	table, err := f.tableFor(next.Table, response)
 	if err != nil {
-		// What is not understood is not in force, so nothing is confirmed.
-		f.logger.Error("document of the core cannot be decoded", zap.Uint64("version", response.Document), zap.Error(err))
+		// The document that cannot be decoded is not in force, so the state must
+		// not count as confirmed.
+		f.logger.Error("decoding the document from the core failed", zap.Uint64("version", response.DocumentVersion), zap.Error(err))
 		return
 	}
 	if table != next.Table {
 		next.Table = table
-		f.place(table, next.Fronts)
+		f.updatePlacement(table, next.Fronts)
 		f.logger.Info("document in force", zap.Uint64("version", table.Document.Version))
 	}
-	// The quorum has confirmed the leader after the call was sent.
-	next.Confirmed = max(next.Confirmed, sent+time.Duration(response.ConfirmedAfterMS*float64(time.Millisecond)))
+	// The read barrier at the leader started after the call was sent. Adding the
+	// leader's delay to the send time gives a lower bound of its start.
+	next.Confirmed = max(next.Confirmed, sentAt+time.Duration(response.ConfirmedAfterMS*float64(time.Millisecond)))
 	f.peers.update(response.Fronts, response.FrontsVersion)
-	if !slices.Equal(response.StoresLost, f.storesLost) {
-		f.storesLost = response.StoresLost
-		f.logger.Info("stores changed", zap.Strings("lost", f.storesLost))
-		f.placer.UpdateStores(f.stores(next.Table))
+	if !slices.Equal(response.StoresLost, f.unreachableStores) {
+		f.unreachableStores = response.StoresLost
+		f.logger.Info("unreachable stores changed", zap.Strings("lost", f.unreachableStores))
+		f.placer.UpdateStores(f.reachableStores(next.Table))
 	}
 	if d := response.Fleet; d != nil && d.Revision > f.registry.Revision {
 		f.registry = f.registry.Merge(*d)
 		next.Weights = f.registry.Weights
 		f.logger.Info("targets changed", zap.Uint64("revision", d.Revision), zap.Int("changed", len(d.Targets)),
-			zap.Strings("gone", d.Gone), zap.Int("targets", len(f.registry.Targets)))
-		f.place(next.Table, next.Fronts)
-	} else if f.pendingWeights {
-		f.place(next.Table, next.Fronts)
+			zap.Strings("gone", d.Removed), zap.Int("targets", len(f.registry.Targets)))
+		f.updatePlacement(next.Table, next.Fronts)
+	} else if f.weightsPending {
+		f.updatePlacement(next.Table, next.Fronts)
 	}
 	f.state.Store(&next)
 	if next.Table == nil {
 		return
 	}
-	f.grant(next, sent, response.Shares)
-	// The first document comes before the shares of its workspaces.
-	if len(response.Shares) > 0 || len(limited(next.Table.Document)) == 0 {
-		f.granted.Store(true)
-		f.once.Do(func() { close(f.synced) })
+	f.applyShares(next, sentAt, response.Shares)
+	// The leader sends the first document before the shares of its workspaces.
+	if len(response.Shares) > 0 || len(rateLimitedWorkspaces(next.Table.Document)) == 0 {
+		f.sharesReceived.Store(true)
+		f.syncedOnce.Do(func() { close(f.synced) })
 	}
 }
 
-// newTable returns the table of a newer document, or the one in force.
-func (f *Front) newTable(inForce *gateway.Table, response fleetsync.Response) (*gateway.Table, error) {
-	if len(response.Raw) == 0 || inForce != nil && response.Document <= inForce.Document.Version {
-		return inForce, nil
+// tableFor compiles the routing table of a response's document if that is newer
+// than the current one, and returns the current table otherwise.
+func (f *Front) tableFor(current *gateway.Table, response fleetsync.Response) (*gateway.Table, error) {
+	if len(response.RawDocument) == 0 || current != nil && response.DocumentVersion <= current.Document.Version {
+		return current, nil
 	}
-	document, err := f.decode(response.Raw)
+	document, err := f.decode(response.RawDocument)
 	if err != nil {
 		return nil, err
 	}
 	return gateway.Compile(document), nil
 }
 
-// serving returns the state for requests. There is none before the front has
-// its parts of the rates, because it would refuse what is within them.
-func (f *Front) serving() forward.State {
+// servingState returns the state for requests. It has no table before the front
+// has received its shares of the rates, because until then the front would reject
+// requests that are within the rates.
+func (f *Front) servingState() forward.State {
 	state := *f.state.Load()
-	if !f.granted.Load() {
+	if !f.sharesReceived.Load() {
 		state.Table = nil
 	}
 	return state
 }
 
-func (f *Front) grant(state forward.State, sent time.Duration, grants map[string]ratelimit.ShareGrant) {
-	f.shares.Grant(boottime.Now(), sent, state.Fronts, grants, func(name string) (rate, burst float64) {
+// applyShares passes the granted shares to the rate limiter.
+func (f *Front) applyShares(state forward.State, sentAt time.Duration, grants map[string]ratelimit.ShareGrant) {
+	f.shares.Grant(boottime.Now(), sentAt, state.Fronts, grants, func(name string) (rate, burst float64) {
 		if w := state.Table.Workspace(name); w != nil {
 			return w.Rate, w.Burst
 		}
@@ -167,39 +177,40 @@
 	})
 }
 
-// place hands the registry to placement.
-func (f *Front) place(table *gateway.Table, fronts int) {
+// updatePlacement passes the targets, stores and connection limits to placement
+// and to the connection pool.
+func (f *Front) updatePlacement(table *gateway.Table, fronts int) {
 	now := boottime.Now()
-	f.stale.update(now, f.leader, f.registry)
-	f.pendingWeights = false
+	f.staleWeights.update(now, f.leader, f.registry)
+	f.weightsPending = false
 	targets := make(map[string][]placement.Target)
 	limits := make(map[string]int)
 	for _, t := range f.registry.Targets {
-		p := f.placeable(t)
-		p.Closed = p.Closed || f.stale.closed(now, &t)
-		f.pendingWeights = f.pendingWeights || t.Updating || t.Weights < f.registry.Weights[t.Model]
+		p := f.placementTarget(t)
+		p.Closed = p.Closed || f.staleWeights.excludes(now, &t)
+		f.weightsPending = f.weightsPending || t.Updating || t.Weights < f.registry.Weights[t.Model]
 		if table != nil {
 			p.CacheTokens = table.CacheTokens(t.Service)
 			if connections := table.MaxConnections(t.Service); connections > 0 {
-				limits[t.Address] = max(int(idlePart*float64(connections))/max(fronts, 1), 1)
+				limits[t.Address] = max(int(idleConnectionFraction*float64(connections))/max(fronts, 1), 1)
 			}
 		}
 		targets[t.Service] = append(targets[t.Service], p)
 	}
 	f.placer.Update(targets)
-	f.placer.UpdateStores(f.stores(table))
+	f.placer.UpdateStores(f.reachableStores(table))
 	f.pool.SetLimits(limits)
 }
 
-// stores lists the stores of the document that can be reached.
-func (f *Front) stores(table *gateway.Table) []placement.Store {
+// reachableStores returns the stores of the document except the unreachable ones.
+func (f *Front) reachableStores(table *gateway.Table) []placement.Store {
 	if table == nil {
 		return nil
 	}
 	var list []placement.Store
 	for i := range table.Document.Services {
 		s := table.Document.Services[i].Store
-		if s == nil || s.Rate <= 0 || slices.Contains(f.storesLost, s.Address) {
+		if s == nil || s.Rate <= 0 || slices.Contains(f.unreachableStores, s.Address) {
 			continue
 		}
 		list = append(list, placement.Store{
@@ -210,51 +221,52 @@
 	return list
 }
 
-func (f *Front) placeable(t fleet.Target) placement.Target {
+func (f *Front) placementTarget(t fleet.Target) placement.Target {
 	return placement.Target{
 		ID: t.ID, Address: t.Address, Zone: t.Zone, Region: f.settings.Regions[t.Zone],
 		Closed: t.Draining, Gone: t.Draining, Weights: t.Weights, Started: t.Started,
 	}
 }
 
-// leaderFinder remembers where the leader of the core may be.
+// leaderFinder chooses the core address to call next until it finds the leader.
 type leaderFinder struct {
 	seeds []string
-	// reload returns the seeds as they are now.
-	reload func() []string
-	known  []string
-	leader string
-	turn   int
-	// avoid is the address that has failed last, which is not asked next.
-	avoid string
+	// reloadSeeds returns the current seeds of the settings.
+	reloadSeeds func() []string
+	candidates  []string
+	leader      string
+	position    int
+	// lastFailed is the address that failed last. next skips it once.
+	lastFailed string
 }
 
 func newLeaderFinder(seeds []string, reload func() []string) *leaderFinder {
-	return &leaderFinder{seeds: seeds, reload: reload, known: seeds}
+	return &leaderFinder{seeds: seeds, reloadSeeds: reload, candidates: seeds}
 }
 
-// next returns the address to ask.
+// next returns the address to call.
 func (l *leaderFinder) next() string {
 	if l.leader != "" {
 		return l.leader
 	}
-	if l.advance(); l.known[l.turn%len(l.known)] == l.avoid {
+	if l.advance(); l.candidates[l.position%len(l.candidates)] == l.lastFailed {
 		l.advance()
 	}
-	return l.known[l.turn%len(l.known)]
+	return l.candidates[l.position%len(l.candidates)]
 }
 
-// advance goes on to the next address. After a round the seeds are read again.
+// advance moves to the next candidate. After each pass over the candidates it
+// reloads the seeds.
 func (l *leaderFinder) advance() {
-	l.turn++
-	if l.turn%len(l.known) == 0 {
-		l.seeds = l.reload()
-		l.learn(l.known)
+	l.position++
+	if l.position%len(l.candidates) == 0 {
+		l.seeds = l.reloadSeeds()
+		l.setCandidates(l.candidates)
 	}
 }
 
 func (l *leaderFinder) failed(address string) {
-	l.avoid = address
+	l.lastFailed = address
 	if l.leader == address {
 		l.leader = ""
 	}
@@ -262,30 +274,32 @@
 
 func (l *leaderFinder) found(address string, response fleetsync.Response) {
 	l.leader = address
-	l.avoid = ""
-	l.learn(response.Core)
+	l.lastFailed = ""
+	l.setCandidates(response.Core)
 }
 
-// redirected follows the hint of a core VM that does not lead.
+// redirected follows the leader hint of a core VM that is not the leader.
 func (l *leaderFinder) redirected(asked string, response fleetsync.Response) {
-	l.learn(response.Core)
-	// The hint of a VM that has not noticed the loss of the leader yet.
-	lost := l.avoid
+	l.setCandidates(response.Core)
+	// A VM that has not detected the failure of the leader yet still names it,
+	// so a hint to the address that failed last is ignored.
+	previousFailed := l.lastFailed
 	l.failed(asked)
-	if response.Leader != "" && response.Leader != asked && response.Leader != lost {
+	if response.Leader != "" && response.Leader != asked && response.Leader != previousFailed {
 		l.leader = response.Leader
 	}
 }
 
-// maxKnown bounds the addresses that are asked in turn.
-const maxKnown = 16
+// maxCandidates limits the number of addresses that are tried in turn.
+const maxCandidates = 16
 
-// learn notes the core's addresses. The seeds stay known, because they may be
-// the only ones that are left after a long absence.
-func (l *leaderFinder) learn(core []string) {
+// setCandidates replaces the candidates by the seeds and the given addresses of
+// the core. The seeds are kept because after a long disconnection they may be the
+// only valid addresses.
+func (l *leaderFinder) setCandidates(core []string) {
 	if len(core) == 0 {
 		return
 	}
-	l.known = distinct(append(append([]string{}, l.seeds...), core...))
-	l.known = l.known[:min(len(l.known), maxKnown)]
+	l.candidates = dedupe(append(append([]string{}, l.seeds...), core...))
+	l.candidates = l.candidates[:min(len(l.candidates), maxCandidates)]
 }
--- a/internal/edge/identity.go
+++ b/internal/edge/identity.go
@@ -10,15 +10,15 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// identityFile names the replica that the data folder belongs to.
+// identityFile is the file in the data folder that holds the replica ID.
 const identityFile = "replica-id"
 
-// identity returns the replica ID of this VM and the first voter set. The ID is
-// stored with the replica's files: a VM that has lost its disk must not speak
-// for the replica that it was, because that one's votes and acknowledgements
-// are lost.
-func identity(s *Settings) (id string, bootstrap raft.Membership, err error) {
-	bootstrap = firstVoters(s)
+// loadIdentity returns the replica ID of this VM and the initial voters, which are
+// nil if the ID is not one of them. The ID is stored with the replica's files: a VM
+// that has lost its disk must not reuse its previous ID, because the record of the
+// votes and acknowledgements given under that ID is lost.
+func loadIdentity(s *Settings) (id string, bootstrap raft.Membership, err error) {
+	bootstrap = initialVoters(s)
 	stored, err := os.ReadFile(filepath.Join(s.DataFolder, identityFile))
 	if err == nil && len(strings.TrimSpace(string(stored))) > 0 {
 		id = strings.TrimSpace(string(stored))
@@ -30,35 +30,38 @@
 	if err != nil && !os.IsNotExist(err) {
 		return "", nil, err
 	}
-	id = s.ownPeer()
+	id = s.selfPeerAddress()
 	if !s.FirstStart || !bootstrap.Voter(id) {
-		id = s.ownPeer() + "/" + nonce()
+		id = s.selfPeerAddress() + "/" + randomSuffix()
 		bootstrap = nil
 	}
-	return id, bootstrap, writeSynced(s.DataFolder, identityFile, id)
+	return id, bootstrap, writeFileAtomic(s.DataFolder, identityFile, id)
 }
 
-// firstVoters are the seeds: at the first start all VMs have the same ones.
-func firstVoters(s *Settings) raft.Membership {
+// initialVoters returns the voters of the first start: the seeds, which are the
+// same on all VMs at that time.
+func initialVoters(s *Settings) raft.Membership {
 	addresses := make(map[string]string)
-	for _, peer := range s.seedPeers() {
+	for _, peer := range s.seedPeerAddresses() {
 		addresses[peer] = peer
 	}
 	return raft.NewVoters(addresses)
 }
 
-func nonce() string {
+// randomSuffix distinguishes the replica IDs that a VM has in the course of time.
+func randomSuffix() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// writeSynced writes a file so that it is whole or absent after a power loss.
-func writeSynced(folder, name, content string) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+// writeFileAtomic writes a file so that after a power loss it is either complete
+// or unchanged.
+func writeFileAtomic(dir, name, content string) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	temporary := filepath.Join(folder, name+".tmp")
+	temporary := filepath.Join(dir, name+".tmp")
 	file, err := os.Create(temporary)
 	if err != nil {
 		return err
@@ -66,26 +69,27 @@
 	if _, err = file.WriteString(content); err == nil {
 		err = file.Sync()
 	}
-	if closing := file.Close(); err == nil {
-		err = closing
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(temporary, filepath.Join(folder, name)); err != nil {
+	if err := os.Rename(temporary, filepath.Join(dir, name)); err != nil {
 		return err
 	}
-	return syncFolder(folder)
+	return syncDir(dir)
 }
 
-func syncFolder(folder string) error {
-	f, err := os.Open(folder)
+// syncDir flushes the entries of a directory to disk.
+func syncDir(dir string) error {
+	f, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
 	err = f.Sync()
-	if closing := f.Close(); err == nil {
-		err = closing
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/edge/net.go
+++ b/internal/edge/net.go
@@ -14,32 +14,34 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/sockopt"
 )
 
-// ackTimeout is how long sent bytes may stay without acknowledgement before a
-// connection is given up as silent. Callers wait for two seconds at least.
+// ackTimeout is how long sent bytes may remain unacknowledged before the
+// connection is closed as unresponsive (TCP_USER_TIMEOUT). Clients wait for a
+// response for at least two seconds.
 const ackTimeout = 3 * time.Second
 
-// keepAlive finds silent connections on which nothing is sent.
+// keepAlive detects unresponsive connections on which no data is in flight.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// listen opens a listener. Accepted sockets inherit its options.
+// listen opens a TCP listener. Accepted connections inherit its socket options.
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: sockopt.AckTimeout(ackTimeout), KeepAliveConfig: keepAlive}
 	return config.Listen(context.Background(), "tcp", address)
 }
 
+// serveUntilClosed runs a server and logs any error other than its shutdown.
 func serveUntilClosed(logger *zap.Logger, s *http.Server, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		logger.Error("server ended", zap.String("address", l.Addr().String()), zap.Error(err))
+		logger.Error("server stopped unexpectedly", zap.String("address", l.Addr().String()), zap.Error(err))
 	}
 }
 
-// MetricsPath serves the counters and histograms of a process.
+// MetricsPath is the path of the metrics endpoint.
 const MetricsPath = "/metrics"
 
-func addMetrics(mux *http.ServeMux) { mux.Handle("GET "+MetricsPath, metrics.Handler()) }
+func registerMetrics(mux *http.ServeMux) { mux.Handle("GET "+MetricsPath, metrics.Handler()) }
 
-// serveMetrics serves the counters on an address of their own, if there is one.
-// A process works without it, so that a port that is taken is only reported.
+// serveMetrics serves the metrics on the metrics port, if one is set. The process
+// works without it, so a port that is already in use is only logged.
 func serveMetrics(s *Settings, logger *zap.Logger) {
 	if s.MetricsPort == 0 {
 		return
@@ -47,22 +49,23 @@
 	address := net.JoinHostPort(s.IP, strconv.Itoa(s.MetricsPort))
 	listener, err := listen(address)
 	if err != nil {
-		logger.Warn("metrics are not served", zap.String("address", address), zap.Error(err))
+		logger.Warn("listen for metrics failed; metrics are not served on this port", zap.String("address", address), zap.Error(err))
 		return
 	}
 	mux := http.NewServeMux()
-	addMetrics(mux)
+	registerMetrics(mux)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: defaultHeaderTimeout}
 	go serveUntilClosed(logger, server, listener)
 }
 
-// latencyBounds are the upper bounds of the histogram of requests.
+// latencyBounds are the upper bounds of the buckets of the request latency
+// histogram.
 var latencyBounds = []time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond,
 	500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second,
 }
 
-// latencyBucket names the bucket of a duration by its upper bound.
+// latencyBucket returns the name of the bucket that a duration falls in.
 func latencyBucket(took time.Duration) string {
 	for _, bound := range latencyBounds {
 		if took <= bound {
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -1,7 +1,8 @@
-// Package edge wires the two processes of a deployment in which fronts forward
-// requests byte for byte and a core of voters holds their state. A front has no
-// disk; it follows the leader of the core. What is spoken with callers, targets
-// and operators comes from outside, through the ports of this package.
+// Package edge assembles the two kinds of process of a deployment. Fronts forward
+// requests byte for byte. The core is a Raft group that holds the state of the
+// fronts. A front stores nothing on disk; it follows the leader of the core. The
+// protocols with clients, targets and operators are supplied by the importer, in
+// CoreOptions and FrontOptions.
 package edge
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
-// Settings are the static settings of one process.
+// Settings are the settings of one process. They are read at its start.
 type Settings struct {
 	VM     string
 	Zone   string
@@ -23,50 +24,54 @@
 	Regions map[string]string
 	// IP is the address of the VM.
 	IP string
-	// FrontAddress takes callers, ReadyAddress the load balancer's checks.
+	// FrontAddress is the listen address for clients, ReadyAddress that for the
+	// load balancer's readiness checks.
 	FrontAddress string
 	ReadyAddress string
-	// ControlAddress takes operators and targets.
+	// ControlAddress is the listen address for operators and targets.
 	ControlAddress string
-	// PeerPort is the port for calls between VMs, the same on all of them.
+	// PeerPort is the port for calls between VMs. It is the same on all VMs.
 	PeerPort int
-	// MetricsPort serves counters; 0 serves none.
+	// MetricsPort is the port for metrics; 0 disables it.
 	MetricsPort int
-	// Seeds are control addresses of some VMs of the core.
+	// Seeds are the control addresses of some VMs of the core.
 	Seeds []string
-	// Reload reads the settings again; only the seeds may have changed. Nil
-	// keeps them.
+	// Reload rereads the settings and returns the seeds, the only setting that
+	// may have changed. If it is nil, the seeds do not change.
 	Reload func() (seeds []string, err error)
-	// FirstStart is set when the whole system starts with empty disks.
+	// FirstStart is set when the whole deployment starts for the first time,
+	// with empty disks.
 	FirstStart bool
 	DataFolder string
-	// MemoryBytes is what the process may use.
+	// MemoryBytes is the memory that the process may use.
 	MemoryBytes int64
 	Bounds      Bounds
 }
 
-// Bounds are the promised times and limits of a deployment.
+// Bounds are the time and rate limits that a deployment guarantees.
 type Bounds struct {
-	// Grace is the time from SIGTERM to SIGKILL.
+	// Grace is the grace period: the time from SIGTERM to SIGKILL.
 	Grace time.Duration
-	// Revoke is when a withdrawn key must have stopped working, also on VMs
-	// that are cut off.
+	// Revoke is the time after which a withdrawn key must be rejected, also on
+	// VMs that are partitioned from the core.
 	Revoke time.Duration
-	// RetryRatio and RetrySlack bound the extra sends to a service within
-	// RetryWindow, over all VMs.
+	// RetryRatio and RetrySlack limit the extra attempts sent to a service
+	// within RetryWindow by all VMs together.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Quota is the overshoot of a quota that is tolerated, in its unit.
+	// Quota is the tolerated overshoot of a quota, in the unit of the quota.
 	Quota ratelimit.Overshoot
-	// HolderLease is how long orders of two holders must be apart.
+	// HolderLease is the minimum time between the last order of one holder and
+	// the first order of the next.
 	HolderLease time.Duration
-	// Weights is when no request may begin on weights that were replaced.
+	// Weights is the time after the replacement of weights from which no
+	// request may start on the old ones.
 	Weights time.Duration
 }
 
-// PeerAddress returns the address for calls between VMs of the VM that has a
-// control address.
+// PeerAddress returns the peer address of the VM with the given control address.
+// Peer addresses are used for calls between VMs.
 func (s *Settings) PeerAddress(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
@@ -75,13 +80,13 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.PeerPort))
 }
 
-// ownPeer is the address of this VM for calls between VMs.
-func (s *Settings) ownPeer() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)) }
+// selfPeerAddress returns the peer address of this VM.
+func (s *Settings) selfPeerAddress() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)) }
 
-// seedPeers returns the peer addresses of the seeds at the start.
-func (s *Settings) seedPeers() []string { return s.peersOf(s.Seeds) }
+// seedPeerAddresses returns the peer addresses of the seeds known at the start.
+func (s *Settings) seedPeerAddresses() []string { return s.peerAddresses(s.Seeds) }
 
-func (s *Settings) peersOf(seeds []string) []string {
+func (s *Settings) peerAddresses(seeds []string) []string {
 	var peers []string
 	for _, seed := range seeds {
 		peers = append(peers, s.PeerAddress(seed))
@@ -89,16 +94,17 @@
 	return peers
 }
 
-// currentSeeds reads the settings again, which may change without a signal. The
-// seeds of the start are kept if that fails.
-func (s *Settings) currentSeeds(logger *zap.Logger) []string {
+// reloadSeedPeerAddresses rereads the settings, which may change without a signal,
+// and returns the peer addresses of their seeds. If rereading fails, it returns
+// those of the seeds known at the start.
+func (s *Settings) reloadSeedPeerAddresses(logger *zap.Logger) []string {
 	if s.Reload == nil {
-		return s.seedPeers()
+		return s.seedPeerAddresses()
 	}
 	seeds, err := s.Reload()
 	if err != nil || len(seeds) == 0 {
-		logger.Warn("settings not read again; the seeds of the start are used", zap.Error(err))
-		return s.seedPeers()
+		logger.Warn("rereading the settings failed; using the seeds known at the start", zap.Error(err))
+		return s.seedPeerAddresses()
 	}
-	return s.peersOf(seeds)
+	return s.peerAddresses(seeds)
 }
--- a/internal/edge/staleness.go
+++ b/internal/edge/staleness.go
@@ -7,89 +7,92 @@
 )
 
 const (
-	// weightsMargin is taken off the time for which engines with older
-	// weights are used, for requests that wait at an engine.
-	weightsMargin = 1500 * time.Millisecond
-	// unknownAge is how long a front that has just started uses engines with
-	// older weights: it does not know for how long the others had them, unless
-	// the leader is new as well.
-	unknownAge = 3500 * time.Millisecond
-	// updateLimit is how long an engine gets no requests because it is marked
-	// for an update. An update takes less than two seconds; a mark that stays
-	// was left by a leader that is lost.
-	updateLimit = 2 * time.Second
+	// staleWeightsMargin is subtracted from the time for which engines with
+	// older weights are used. It covers requests that are queued at an engine.
+	staleWeightsMargin = 1500 * time.Millisecond
+	// unknownAgeLimit is how long a front that has just started uses engines
+	// with older weights. It does not know when their weights were replaced,
+	// unless the leader is new as well.
+	unknownAgeLimit = 3500 * time.Millisecond
+	// updateMarkTimeout limits how long an engine gets no requests because it
+	// is marked for an update. An update takes less than two seconds; a mark
+	// that stays longer was left by a leader that has failed.
+	updateMarkTimeout = 2 * time.Second
 )
 
-// staleness decides which engines get no requests because of their weights. It
-// is not safe for concurrent use.
-type staleness struct {
+// staleWeightsFilter excludes engines from placement while they run outdated
+// weights or are being updated. It is not safe for concurrent use.
+type staleWeightsFilter struct {
 	// limit is how long engines with older weights are used.
 	limit time.Duration
-	// named is the version of each model and since when engines could have
-	// been given it.
-	named map[string]namedWeights
-	// marked is since when engines are marked for an update.
-	marked map[string]time.Duration
-	// started is set once the first registry was seen.
-	started bool
-	leader  string
+	// required maps each model to the version that its engines have to run.
+	required map[string]requiredWeights
+	// updatingSince maps each engine that is marked for an update to the time
+	// at which the mark was first seen.
+	updatingSince map[string]time.Duration
+	// initialized is set once a registry with targets has been seen.
+	initialized bool
+	leader      string
 }
 
-type namedWeights struct {
+// requiredWeights is a version of a model, and since when engines could have been
+// ordered to run it.
+type requiredWeights struct {
 	version uint64
 	since   time.Duration
 }
 
-func newStaleness(limit time.Duration) *staleness {
-	return &staleness{limit: limit, named: make(map[string]namedWeights), marked: make(map[string]time.Duration)}
+func newStaleWeightsFilter(limit time.Duration) *staleWeightsFilter {
+	return &staleWeightsFilter{limit: limit, required: make(map[string]requiredWeights), updatingSince: make(map[string]time.Duration)}
 }
 
-// leaderView is the leader that a registry comes from.
-type leaderView struct {
+// leaderInfo describes the leader that has sent a registry.
+type leaderInfo struct {
 	address string
-	// since is when it was elected.
-	since time.Duration
+	// electedAt is when the leader was elected, on the boot clock.
+	electedAt time.Duration
 }
 
-// update takes a registry as the leader has sent it. A new leader gives orders
-// only after the lease of the one before, so the time starts again.
-func (s *staleness) update(now time.Duration, leader leaderView, state *fleet.State) {
-	changed := s.leader != "" && leader.address != s.leader
+// update applies a registry received from the leader. A new leader gives orders
+// only after the lease of its predecessor has expired, so a change of leader
+// restarts the time limit for older weights.
+func (s *staleWeightsFilter) update(now time.Duration, leader leaderInfo, state *fleet.State) {
+	leaderChanged := s.leader != "" && leader.address != s.leader
 	s.leader = leader.address
 	for model, version := range state.Weights {
-		known, ok := s.named[model]
-		since := known.since
+		previous, ok := s.required[model]
+		since := previous.since
 		switch {
-		case !s.started:
-			since = max(now-s.limit+min(unknownAge, s.limit), min(leader.since, now))
-		case changed || !ok || known.version < version:
+		case !s.initialized:
+			since = max(now-s.limit+min(unknownAgeLimit, s.limit), min(leader.electedAt, now))
+		case leaderChanged || !ok || previous.version < version:
 			since = now
 		}
-		s.named[model] = namedWeights{version, since}
+		s.required[model] = requiredWeights{version, since}
 	}
-	s.started = s.started || len(state.Targets) > 0
+	s.initialized = s.initialized || len(state.Targets) > 0
 	s.updateMarks(now, state)
 }
 
-func (s *staleness) updateMarks(now time.Duration, state *fleet.State) {
-	for id := range s.marked {
+func (s *staleWeightsFilter) updateMarks(now time.Duration, state *fleet.State) {
+	for id := range s.updatingSince {
 		if !state.Targets[id].Updating {
-			delete(s.marked, id)
+			delete(s.updatingSince, id)
 		}
 	}
 	for id, t := range state.Targets {
-		if _, ok := s.marked[id]; t.Updating && !ok {
-			s.marked[id] = now
+		if _, ok := s.updatingSince[id]; t.Updating && !ok {
+			s.updatingSince[id] = now
 		}
 	}
 }
 
-// closed reports whether an engine gets no requests because it is about to get
-// new weights, or because its weights were replaced too long ago.
-func (s *staleness) closed(now time.Duration, t *fleet.Target) bool {
-	if since, ok := s.marked[t.ID]; ok && now-since < updateLimit {
+// excludes reports whether an engine must get no requests, either because it is
+// being updated or because its weights were replaced too long ago.
+func (s *staleWeightsFilter) excludes(now time.Duration, t *fleet.Target) bool {
+	if since, ok := s.updatingSince[t.ID]; ok && now-since < updateMarkTimeout {
 		return true
 	}
-	named := s.named[t.Model]
-	return t.Model != "" && t.Weights < named.version && now-named.since >= s.limit
+	required := s.required[t.Model]
+	return t.Model != "" && t.Weights < required.version && now-required.since >= s.limit
 }
--- a/internal/edge/staleness_test.go
+++ b/internal/edge/staleness_test.go
@@ -7,6 +7,8 @@
 	"github.com/cuminwing/cuminwing/internal/fleet"
 )
 
+// registryWith returns a registry in which the model m has to run at the given
+// version.
 func registryWith(weights uint64, targets ...fleet.Target) *fleet.State {
 	s := fleet.NewState()
 	s.Weights["m"] = weights
@@ -16,84 +18,85 @@
 	return s
 }
 
-// weightsLimit is below the 8 s after which old weights break the promise.
-const weightsLimit = 6500 * time.Millisecond
+// testStaleLimit is below the 8 s that a deployment guarantees for old weights.
+const testStaleLimit = 6500 * time.Millisecond
 
-// Guards against requests that begin on weights that were replaced 8 s before:
-// engines that returned from a crash with old weights took requests at once.
+// Guards against requests that start on weights replaced more than 8 s before:
+// engines that restarted with old weights after a crash got requests at once.
 func TestEngineWithOldWeightsGetsNoRequestsAfterTheLimit(t *testing.T) {
-	s := newStaleness(weightsLimit)
+	s := newStaleWeightsFilter(testStaleLimit)
 	old := fleet.Target{ID: "a", Model: "m", Weights: 1}
-	s.update(0, leaderView{address: "l1"}, registryWith(1, old))
-	named := time.Minute
-	s.update(named, leaderView{address: "l1"}, registryWith(2, old))
-	if s.closed(named+weightsLimit/2, &old) {
-		t.Error("engine with old weights is closed before it could be updated")
+	s.update(0, leaderInfo{address: "l1"}, registryWith(1, old))
+	updatedAt := time.Minute
+	s.update(updatedAt, leaderInfo{address: "l1"}, registryWith(2, old))
+	if s.excludes(updatedAt+testStaleLimit/2, &old) {
+		t.Error("engine with old weights is excluded before it could be updated")
 	}
 	returned := fleet.Target{ID: "b", Model: "m", Weights: 1}
-	s.update(named+2*weightsLimit, leaderView{address: "l1"}, registryWith(2, old, returned))
-	if !s.closed(named+2*weightsLimit, &returned) {
-		t.Error("engine that has returned with old weights gets requests")
+	s.update(updatedAt+2*testStaleLimit, leaderInfo{address: "l1"}, registryWith(2, old, returned))
+	if !s.excludes(updatedAt+2*testStaleLimit, &returned) {
+		t.Error("engine that restarted with old weights gets requests")
 	}
 	returned.Weights = 2
-	if s.closed(named+2*weightsLimit, &returned) {
-		t.Error("engine with the new weights is closed")
+	if s.excludes(updatedAt+2*testStaleLimit, &returned) {
+		t.Error("engine with the new weights is excluded")
 	}
 }
 
-// Guards against a fleet without any target after all VMs have lost power: a
-// front that has just started closed every engine until the new leader was
-// allowed to give orders, 5 s later.
+// Guards against a fleet without any usable target after a power loss of all VMs:
+// a front that had just started excluded every engine until the new leader could
+// give orders, 5 s later.
 func TestRestartedFrontUsesOldWeightsUntilOrdersCanBeGiven(t *testing.T) {
-	s := newStaleness(weightsLimit)
+	s := newStaleWeightsFilter(testStaleLimit)
 	old := fleet.Target{ID: "a", Model: "m", Weights: 1}
 	start := time.Minute
-	s.update(start, leaderView{address: "l1"}, registryWith(2, old))
-	if s.closed(start+time.Second, &old) {
-		t.Error("engine is closed at once by a front that has just started")
+	s.update(start, leaderInfo{address: "l1"}, registryWith(2, old))
+	if s.excludes(start+time.Second, &old) {
+		t.Error("front that has just started excludes the engine at once")
 	}
-	if !s.closed(start+unknownAge, &old) {
-		t.Error("engine is used for longer although the age of its weights is not known")
+	if !s.excludes(start+unknownAgeLimit, &old) {
+		t.Error("engine with weights of unknown age is used beyond the limit")
 	}
-	s.update(start+3*time.Second, leaderView{address: "l2"}, registryWith(2, old))
-	if s.closed(start+unknownAge, &old) {
-		t.Error("engine is closed before the new leader can give orders")
+	s.update(start+3*time.Second, leaderInfo{address: "l2"}, registryWith(2, old))
+	if s.excludes(start+unknownAgeLimit, &old) {
+		t.Error("engine is excluded before the new leader can give orders")
 	}
 }
 
-// Guards against a fleet without any target after a kill of all processes: the
-// leader is as new as the front, and gives its first orders after 3.6 s.
+// Guards against a fleet without any usable target after all processes were
+// killed: the leader is as new as the front, and gives its first orders after
+// 3.6 s.
 func TestRestartedFrontWaitsForTheOrdersOfANewLeader(t *testing.T) {
-	s := newStaleness(weightsLimit)
+	s := newStaleWeightsFilter(testStaleLimit)
 	old := fleet.Target{ID: "a", Model: "m", Weights: 1}
-	elected := time.Minute
-	s.update(elected+200*time.Millisecond, leaderView{"l1", elected}, registryWith(2, old))
-	if s.closed(elected+weightsLimit-time.Millisecond, &old) {
-		t.Error("engine is closed before the new leader could update it")
+	electedAt := time.Minute
+	s.update(electedAt+200*time.Millisecond, leaderInfo{"l1", electedAt}, registryWith(2, old))
+	if s.excludes(electedAt+testStaleLimit-time.Millisecond, &old) {
+		t.Error("engine is excluded before the new leader could update it")
 	}
-	if !s.closed(elected+weightsLimit, &old) {
-		t.Error("engine is used for longer than the limit")
+	if !s.excludes(electedAt+testStaleLimit, &old) {
+		t.Error("engine is used beyond the limit")
 	}
 }
 
-// Guards against engines that stay closed for five seconds because the leader
+// Guards against engines that stay excluded for five seconds because the leader
 // that has marked them is frozen.
-func TestMarkOfALostLeaderEnds(t *testing.T) {
-	s := newStaleness(weightsLimit)
+func TestUpdateMarkOfFailedLeaderExpires(t *testing.T) {
+	s := newStaleWeightsFilter(testStaleLimit)
 	marked := fleet.Target{ID: "a", Model: "m", Weights: 1, Updating: true}
-	s.update(0, leaderView{address: "l1"}, registryWith(1, marked))
-	if !s.closed(updateLimit-time.Millisecond, &marked) {
+	s.update(0, leaderInfo{address: "l1"}, registryWith(1, marked))
+	if !s.excludes(updateMarkTimeout-time.Millisecond, &marked) {
 		t.Error("engine that is being updated gets requests")
 	}
-	s.update(updateLimit, leaderView{address: "l1"}, registryWith(1, marked))
-	if s.closed(updateLimit, &marked) {
-		t.Error("engine is closed although nobody updates it")
+	s.update(updateMarkTimeout, leaderInfo{address: "l1"}, registryWith(1, marked))
+	if s.excludes(updateMarkTimeout, &marked) {
+		t.Error("engine is excluded although its update mark has expired")
 	}
 	released := marked
 	released.Updating = false
-	s.update(2*updateLimit, leaderView{address: "l2"}, registryWith(1, released))
-	s.update(3*updateLimit, leaderView{address: "l2"}, registryWith(1, marked))
-	if !s.closed(3*updateLimit, &marked) {
+	s.update(2*updateMarkTimeout, leaderInfo{address: "l2"}, registryWith(1, released))
+	s.update(3*updateMarkTimeout, leaderInfo{address: "l2"}, registryWith(1, marked))
+	if !s.excludes(3*updateMarkTimeout, &marked) {
 		t.Error("a new mark has no effect")
 	}
 }
--- a/internal/edge/system_test.go
+++ b/internal/edge/system_test.go
@@ -28,22 +28,23 @@
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
-// The tests of this file run the processes of a deployment in one process, on
-// loopback addresses of their own.
+// The tests in this file run all processes of a deployment in the test process,
+// each on its own loopback address.
 
-// plainCodec passes headers on as they are.
-type plainCodec struct{}
+// passThroughCodec reads and writes plain headers without a protocol of their
+// own.
+type passThroughCodec struct{}
 
-func (plainCodec) Request(h http.Header) (forward.Request, error) {
+func (passThroughCodec) Request(h http.Header) (forward.Request, error) {
 	return forward.Request{ID: h.Get("Id"), Key: h.Get("Key"), Limit: 2 * time.Second}, nil
 }
-func (plainCodec) Outgoing(caller http.Header, a *forward.Attempt) http.Header {
+func (passThroughCodec) Outgoing(caller http.Header, a *forward.Attempt) http.Header {
 	return http.Header{"Id": caller["Id"], "Workspace": {a.Workspace}}
 }
-func (plainCodec) Answer(_ int, h http.Header, _ string) forward.Answer {
+func (passThroughCodec) Answer(_ int, h http.Header, _ string) forward.Answer {
 	return forward.Answer{RequestID: h.Get("Id"), Signed: true}
 }
-func (plainCodec) Reply(caller, answer http.Header) { caller["Workspace"] = answer["Workspace"] }
+func (passThroughCodec) Reply(caller, answer http.Header) { caller["Workspace"] = answer["Workspace"] }
 
 func decodeJSON(raw []byte) (*gateway.Document, error) {
 	var d gateway.Document
@@ -53,53 +54,55 @@
 	return &d, d.Validate()
 }
 
-type idleEngines struct{}
+// unreachableEngines is an EngineAPI without engines: every report fails.
+type unreachableEngines struct{}
 
-func (idleEngines) Report(context.Context, fleet.Target) (EngineReport, error) {
+func (unreachableEngines) Report(context.Context, fleet.Target) (EngineReport, error) {
 	return EngineReport{}, errors.New("no engine")
 }
-func (idleEngines) SetWeights(context.Context, fleet.Target, WeightsOrder) error { return nil }
+func (unreachableEngines) SetWeights(context.Context, fleet.Target, WeightsOrder) error { return nil }
 
-// deployment is a core and a front, each at an address of its own.
+// deployment is a core whose members have an address each. Fronts can be added.
 type deployment struct {
 	t     *testing.T
 	port  int
 	cores []*runningCore
-	// metricsPort is that of fronts; 0 serves none.
+	// metricsPort is the metrics port of fronts; 0 disables it.
 	metricsPort int
 }
 
 type runningCore struct {
 	settings Settings
 	core     *Core
-	stop     context.CancelFunc
+	cancel   context.CancelFunc
 	done     chan error
-	// full makes every write fail.
-	full atomic.Bool
+	// diskFull makes every write to the disk fail.
+	diskFull atomic.Bool
 }
 
-// fullDisk is a file on a disk that takes no bytes while full is set.
-type fullDisk struct {
+// fullDiskFile is a file whose writes fail with ENOSPC while full is set.
+type fullDiskFile struct {
 	disk.File
 	full *atomic.Bool
 }
 
-func (f fullDisk) Write(b []byte) (int, error) {
+func (f fullDiskFile) Write(b []byte) (int, error) {
 	if f.full.Load() {
 		return 0, syscall.ENOSPC
 	}
 	return f.File.Write(b)
 }
 
-func (c *runningCore) open(name string, flag int) (disk.File, error) {
+func (c *runningCore) openFile(name string, flag int) (disk.File, error) {
 	file, err := os.OpenFile(name, flag|os.O_CREATE, 0o600)
-	return fullDisk{file, &c.full}, err
+	return fullDiskFile{file, &c.diskFull}, err
 }
 
-// nextHost numbers the loopback addresses of this test process.
+// nextHost is the number of the last loopback address handed out in this test
+// process.
 var nextHost = 10
 
-func hostAddress() string {
+func nextHostAddress() string {
 	nextHost++
 	return fmt.Sprintf("127.77.%d.%d", nextHost/250, nextHost%250+1)
 }
@@ -125,37 +128,37 @@
 func newDeployment(t *testing.T, cores int) *deployment {
 	t.Helper()
 	d := &deployment{t: t, port: freePort(t)}
-	control := strconv.Itoa(freePort(t))
+	controlPort := strconv.Itoa(freePort(t))
 	var seeds []string
 	for range cores {
-		host := hostAddress()
-		seeds = append(seeds, host+":"+control)
+		host := nextHostAddress()
+		seeds = append(seeds, host+":"+controlPort)
 		d.cores = append(d.cores, &runningCore{settings: Settings{
 			VM: host, Zone: "z", Region: "r", Regions: map[string]string{"z": "r"}, IP: host,
-			ControlAddress: host + ":" + control, PeerPort: d.port, FirstStart: true,
+			ControlAddress: host + ":" + controlPort, PeerPort: d.port, FirstStart: true,
 			DataFolder: t.TempDir(), Bounds: testBounds(),
 		}})
 	}
 	for _, c := range d.cores {
 		c.settings.Seeds = seeds
-		d.start(c)
+		d.startCore(c)
 	}
 	return d
 }
 
-func (d *deployment) start(c *runningCore) {
+func (d *deployment) startCore(c *runningCore) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c.stop, c.done = cancel, make(chan error, 1)
+	c.cancel, c.done = cancel, make(chan error, 1)
 	ready := make(chan *Core, 1)
 	go func() {
 		c.done <- RunCore(ctx, c.settings, CoreOptions{
-			Logger: zap.NewNop(), Decode: decodeJSON, Engines: idleEngines{},
-			Disk: disk.Options{Open: c.open},
+			Logger: zap.NewNop(), Decode: decodeJSON, Engines: unreachableEngines{},
+			Disk: disk.Options{Open: c.openFile},
 			Control: func(core *Core) http.Handler {
 				select {
 				case ready <- core:
 				default:
-					// The control log was opened again.
+					// RunCore has reopened the control log.
 				}
 				return http.NotFoundHandler()
 			},
@@ -166,25 +169,25 @@
 	case err := <-c.done:
 		d.t.Fatalf("core did not start: %v", err)
 	}
-	d.t.Cleanup(func() { d.halt(c) })
+	d.t.Cleanup(func() { d.stopCore(c) })
 }
 
-func (d *deployment) halt(c *runningCore) {
-	if c.stop == nil {
+func (d *deployment) stopCore(c *runningCore) {
+	if c.cancel == nil {
 		return
 	}
-	c.stop()
-	c.stop = nil
+	c.cancel()
+	c.cancel = nil
 	if err := <-c.done; err != nil {
-		d.t.Errorf("core ended with %v", err)
+		d.t.Errorf("core stopped with error: %v", err)
 	}
 }
 
-// eventually repeats f until it succeeds.
+// eventually retries f until it succeeds. It fails the test after 20 s.
 func eventually(t *testing.T, what string, f func() error) {
 	t.Helper()
 	var err error
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if err = f(); err == nil {
 			return
 		}
@@ -192,7 +195,9 @@
 	t.Fatalf("%s: %v", what, err)
 }
 
-func document(version uint64, key string) []byte {
+// documentWithKey returns an encoded document with one workspace that has the
+// given key and a rate of 100.
+func documentWithKey(version uint64, key string) []byte {
 	raw, err := json.Marshal(&gateway.Document{
 		Version: version,
 		Routes: []gateway.Route{{
@@ -208,11 +213,12 @@
 	return raw
 }
 
-// echo answers each request with its ID and workspace.
-func echo(t *testing.T) string { return slowEcho(t, 0) }
+// startEchoTarget starts a target that responds to each request with its ID and
+// workspace. It returns the address.
+func startEchoTarget(t *testing.T) string { return startSlowEchoTarget(t, 0) }
 
-// slowEcho answers after a delay.
-func slowEcho(t *testing.T, delay time.Duration) string {
+// startSlowEchoTarget starts an echo target that responds after a delay.
+func startSlowEchoTarget(t *testing.T, delay time.Duration) string {
 	t.Helper()
 	address, stop, err := loopback.Serve(func(conn net.Conn) { echoRequests(conn, delay) })
 	if err != nil {
@@ -238,7 +244,7 @@
 }
 
 func (d *deployment) startFront() (string, context.CancelFunc) {
-	host := hostAddress()
+	host := nextHostAddress()
 	s := Settings{
 		VM: host, Zone: "z", Region: "r", Regions: map[string]string{"z": "r"}, IP: host, PeerPort: d.port, MetricsPort: d.metricsPort,
 		FrontAddress: fmt.Sprintf("%s:%d", host, freePort(d.t)), ReadyAddress: fmt.Sprintf("%s:%d", host, freePort(d.t)),
@@ -247,18 +253,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- RunFront(ctx, s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON, Codec: plainCodec{}})
+		done <- RunFront(ctx, s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON, Codec: passThroughCodec{}})
 	}()
 	d.t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
-			d.t.Errorf("front ended with %v", err)
+			d.t.Errorf("front stopped with error: %v", err)
 		}
 	})
 	return s.FrontAddress, cancel
 }
 
-func ask(address, key string) (int, error) {
+func sendRequest(address, key string) (int, error) {
 	r, err := http.NewRequest("POST", "http://"+address+"/x", strings.NewReader("body"))
 	if err != nil {
 		return 0, err
@@ -266,18 +272,20 @@
 	r.Host = "a.example"
 	r.Header.Set("Id", "id")
 	r.Header.Set("Key", key)
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode, nil
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, nil
 }
 
-func wantStatus(address, key string, want int) func() error {
+// expectStatus returns a function that sends one request and checks the status of
+// the response.
+func expectStatus(address, key string, want int) func() error {
 	return func() error {
-		status, err := ask(address, key)
+		status, err := sendRequest(address, key)
 		if err == nil && status != want {
 			err = fmt.Errorf("status %d, want %d", status, want)
 		}
@@ -285,23 +293,23 @@
 	}
 }
 
-// Guards against a path that does not work as a whole: documents, registry,
-// forwarding, withdrawn keys, and the loss of a member of the core.
+// Guards against failures of the whole path: documents, registry, forwarding,
+// withdrawn keys, and the failure of a core member.
 func TestRequestsAreServedThroughChangesAndTheLossOfACore(t *testing.T) {
 	d := newDeployment(t, 3)
 	ctx := context.Background()
-	eventually(t, "first document", func() error { return d.cores[0].core.PutDocument(ctx, document(1, "k1")) })
-	target := fleet.Target{ID: "t1", Service: "s", Address: echo(t), Zone: "z", Started: 1}
+	eventually(t, "first document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(1, "k1")) })
+	target := fleet.Target{ID: "t1", Service: "s", Address: startEchoTarget(t), Zone: "z", Started: 1}
 	eventually(t, "target", func() error { return d.cores[1].core.Announce(ctx, target) })
 	front, _ := d.startFront()
-	eventually(t, "request", wantStatus(front, "k1", 200))
-	if err := wantStatus(front, "k2", 401)(); err != nil {
+	eventually(t, "request", expectStatus(front, "k1", 200))
+	if err := expectStatus(front, "k2", 401)(); err != nil {
 		t.Error(err)
 	}
-	d.halt(d.cores[0])
-	eventually(t, "document without one core", func() error { return d.cores[1].core.PutDocument(ctx, document(2, "k2")) })
-	eventually(t, "withdrawn key", wantStatus(front, "k1", 401))
-	eventually(t, "new key", wantStatus(front, "k2", 200))
+	d.stopCore(d.cores[0])
+	eventually(t, "document after the stop of one core member", func() error { return d.cores[1].core.PutDocument(ctx, documentWithKey(2, "k2")) })
+	eventually(t, "withdrawn key", expectStatus(front, "k1", 401))
+	eventually(t, "new key", expectStatus(front, "k2", 200))
 	eventually(t, "read", func() error {
 		stored, err := d.cores[2].core.Document(ctx)
 		if err == nil && stored.Version != 2 {
@@ -311,31 +319,31 @@
 	})
 }
 
-// Guards against acknowledged documents that are lost with a disk, and against
-// a replica with an empty disk that votes under its old name.
-func TestCoreThatHasLostItsDiskJoinsAgain(t *testing.T) {
+// Guards against the loss of acknowledged documents with a disk, and against a
+// replica with an empty disk that votes under its previous ID.
+func TestCoreRejoinsUnderNewIDAfterDiskLoss(t *testing.T) {
 	d := newDeployment(t, 3)
 	ctx := context.Background()
-	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, document(4, "k1")) })
-	lost := d.cores[2]
-	before := lost.core.replica.Status().ID
-	d.halt(lost)
-	lost.settings.DataFolder = t.TempDir()
-	lost.settings.FirstStart = false
-	d.start(lost)
+	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(4, "k1")) })
+	replaced := d.cores[2]
+	oldID := replaced.core.replica.Status().ID
+	d.stopCore(replaced)
+	replaced.settings.DataFolder = t.TempDir()
+	replaced.settings.FirstStart = false
+	d.startCore(replaced)
 	eventually(t, "join", func() error {
-		status := lost.core.replica.Status()
-		if status.ID == before {
-			return errors.New("replica has its old name")
+		status := replaced.core.replica.Status()
+		if status.ID == oldID {
+			return errors.New("replica has its previous ID")
 		}
 		if !status.Members.Voter(status.ID) || status.Members.Voters() != 3 {
 			return fmt.Errorf("members are %v", status.Members)
 		}
 		return nil
 	})
-	d.halt(d.cores[0])
-	eventually(t, "read after the loss of another", func() error {
-		stored, err := lost.core.Document(ctx)
+	d.stopCore(d.cores[0])
+	eventually(t, "read after the stop of another core member", func() error {
+		stored, err := replaced.core.Document(ctx)
 		if err == nil && stored.Version != 4 {
 			err = fmt.Errorf("version %d, want 4", stored.Version)
 		}
@@ -343,23 +351,23 @@
 	})
 }
 
-// Guards against a read that is older than an acknowledgement: a core without a
-// quorum must not answer.
+// Guards against stale reads that miss an acknowledged change: a core member
+// without a quorum must not serve reads.
 func TestCoreWithoutAQuorumDoesNotAnswerReads(t *testing.T) {
 	d := newDeployment(t, 3)
 	ctx := context.Background()
-	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, document(1, "k1")) })
-	d.halt(d.cores[0])
-	d.halt(d.cores[1])
+	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(1, "k1")) })
+	d.stopCore(d.cores[0])
+	d.stopCore(d.cores[1])
 	if stored, err := d.cores[2].core.Document(ctx); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("read %d, %v; want ErrUnavailable", stored.Version, err)
 	}
-	if err := d.cores[2].core.PutDocument(ctx, document(2, "k1")); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("change without a quorum: %v, want ErrUnavailable", err)
+	if err := d.cores[2].core.PutDocument(ctx, documentWithKey(2, "k1")); !errors.Is(err, ErrUnavailable) {
+		t.Errorf("proposal without a quorum: %v, want ErrUnavailable", err)
 	}
 }
 
-// Guards against an invalid document in force.
+// Guards against an invalid document that comes into force.
 func TestInvalidDocumentIsRefusedByEveryCore(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, raw := range []string{"{", `{"Version":1,"Routes":[{"Name":"r"}]}`} {
@@ -369,44 +377,46 @@
 	}
 }
 
-// Guards against a front that takes requests before it has its parts of the
-// rates: the first second after a start brought 66 refusals by quota.
+// Guards against a front that accepts requests before it has received its shares
+// of the rates: 66 requests were rejected by quota in the first second after a
+// start.
 func TestFrontServesABurstRightAfterItsStart(t *testing.T) {
 	d := newDeployment(t, 1)
 	ctx := context.Background()
-	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, document(1, "k1")) })
-	target := fleet.Target{ID: "t1", Service: "s", Address: echo(t), Zone: "z", Started: 1}
+	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(1, "k1")) })
+	target := fleet.Target{ID: "t1", Service: "s", Address: startEchoTarget(t), Zone: "z", Started: 1}
 	eventually(t, "target", func() error { return d.cores[0].core.Announce(ctx, target) })
 	front, _ := d.startFront()
-	eventually(t, "first answer", func() error {
-		status, err := ask(front, "k1")
+	eventually(t, "first response", func() error {
+		status, err := sendRequest(front, "k1")
 		if err == nil && status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Fatalf("status %d right after the start", status)
 		}
 		return err
 	})
 	for i := range 200 {
-		if err := wantStatus(front, "k1", 200)(); err != nil {
+		if err := expectStatus(front, "k1", 200)(); err != nil {
 			t.Fatalf("request %d right after the start: %v", i, err)
 		}
 	}
 }
 
-// Guards against a planned stop that cuts off requests: those under way, and
-// those that come on open connections while the load balancer has not noticed.
-func TestStopOfAFrontCutsOffNoRequest(t *testing.T) {
+// Guards against a planned shutdown that aborts requests: those in flight, and
+// those that arrive on open connections before the load balancer has detected the
+// shutdown.
+func TestFrontShutdownAbortsNoRequest(t *testing.T) {
 	d := newDeployment(t, 1)
 	ctx := context.Background()
-	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, document(1, "k1")) })
-	target := fleet.Target{ID: "t1", Service: "s", Address: slowEcho(t, 300*time.Millisecond), Zone: "z", Started: 1}
+	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(1, "k1")) })
+	target := fleet.Target{ID: "t1", Service: "s", Address: startSlowEchoTarget(t, 300*time.Millisecond), Zone: "z", Started: 1}
 	eventually(t, "target", func() error { return d.cores[0].core.Announce(ctx, target) })
 	front, stop := d.startFront()
-	eventually(t, "first answer", wantStatus(front, "k1", 200))
+	eventually(t, "first response", expectStatus(front, "k1", 200))
 	results := make(chan error, 12)
 	for i := range cap(results) {
 		go func() {
 			time.Sleep(time.Duration(i) * 150 * time.Millisecond)
-			results <- wantStatus(front, "k1", 200)()
+			results <- expectStatus(front, "k1", 200)()
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
@@ -418,23 +428,23 @@
 	}
 }
 
-// Guards against metrics that are not served where the deploy file says.
+// Guards against metrics that are not served on the port of the deploy file.
 func TestCountersAreServedOnTheMetricsPort(t *testing.T) {
 	d := newDeployment(t, 1)
 	d.metricsPort = freePort(t)
 	ctx := context.Background()
-	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, document(1, "k1")) })
-	target := fleet.Target{ID: "t1", Service: "s", Address: echo(t), Zone: "z", Started: 1}
+	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(1, "k1")) })
+	target := fleet.Target{ID: "t1", Service: "s", Address: startEchoTarget(t), Zone: "z", Started: 1}
 	eventually(t, "target", func() error { return d.cores[0].core.Announce(ctx, target) })
 	front, _ := d.startFront()
-	eventually(t, "request", wantStatus(front, "k1", 200))
+	eventually(t, "request", expectStatus(front, "k1", 200))
 	host, _, _ := net.SplitHostPort(front)
-	answer, err := http.Get(fmt.Sprintf("http://%s:%d%s", host, d.metricsPort, MetricsPath))
+	response, err := http.Get(fmt.Sprintf("http://%s:%d%s", host, d.metricsPort, MetricsPath))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	for _, name := range []string{"requests_once_ok", "request_time_once_le_", "confirmed_age_ms", "connections_opened"} {
 		if err != nil || !strings.Contains(string(text), name) {
 			t.Errorf("%s is not served: %v", name, err)
@@ -442,71 +452,71 @@
 	}
 }
 
-// Guards against a core that loses its majority because disks were full one
-// after the other: each member stayed away after its first failed write.
-func TestDisksThatFillInTurnLeaveTheCoreWhole(t *testing.T) {
+// Guards against a core that loses its majority because its disks fill up one
+// after the other: each member stayed down after its first failed write.
+func TestCoreKeepsMajorityWhenDisksFillInTurn(t *testing.T) {
 	d := newDeployment(t, 3)
 	ctx := context.Background()
 	version := uint64(1)
 	put := func() error {
 		for _, c := range d.cores {
-			if err := c.core.PutDocument(ctx, document(version, "k1")); err == nil {
+			if err := c.core.PutDocument(ctx, documentWithKey(version, "k1")); err == nil {
 				return nil
 			}
 		}
-		return errors.New("no member of the core takes the document")
+		return errors.New("no core member accepts the document")
 	}
 	eventually(t, "first document", put)
 	for i, c := range d.cores {
-		c.full.Store(true)
+		c.diskFull.Store(true)
 		version++
-		eventually(t, fmt.Sprintf("document with the disk of core %d full", i), put)
+		eventually(t, fmt.Sprintf("document while the disk of core %d is full", i), put)
 		time.Sleep(300 * time.Millisecond)
-		c.full.Store(false)
+		c.diskFull.Store(false)
 		version++
 		eventually(t, fmt.Sprintf("document after the disk of core %d was full", i), put)
-		time.Sleep(2 * reopenPause)
+		time.Sleep(2 * logReopenDelay)
 	}
 }
 
-// Guards against spending that is forgotten when all members of the core start
-// again: the leader divided the rates before it had applied its log, and a
-// workspace could spend its rate twice within a window.
-func TestSpendingOutlastsTheEndOfTheWholeCore(t *testing.T) {
+// Guards against the loss of recorded spending when all core members restart: the
+// leader divided the rates before it had applied its log, so a workspace could
+// spend its rate twice within a window.
+func TestSpendingSurvivesRestartOfAllCoreMembers(t *testing.T) {
 	d := newDeployment(t, 3)
 	ctx := context.Background()
-	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, document(1, "k1")) })
-	target := fleet.Target{ID: "t1", Service: "s", Address: echo(t), Zone: "z", Started: 1}
+	eventually(t, "document", func() error { return d.cores[0].core.PutDocument(ctx, documentWithKey(1, "k1")) })
+	target := fleet.Target{ID: "t1", Service: "s", Address: startEchoTarget(t), Zone: "z", Started: 1}
 	eventually(t, "target", func() error { return d.cores[0].core.Announce(ctx, target) })
 	front, _ := d.startFront()
-	eventually(t, "first answer", wantStatus(front, "k1", 200))
+	eventually(t, "first response", expectStatus(front, "k1", 200))
 	for range 300 {
-		if _, err := ask(front, "k1"); err != nil {
+		if _, err := sendRequest(front, "k1"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var recorded float64
 	eventually(t, "record of the spending", func() error {
-		recorded = d.cores[0].core.fleet.Current().Spent["w"].Spent
+		recorded = d.cores[0].core.registry.Current().Spent["w"].Spent
 		if recorded < 250 {
-			return fmt.Errorf("%v is recorded", recorded)
+			return fmt.Errorf("recorded spending is %v, want at least 250", recorded)
 		}
 		return nil
 	})
 	for _, c := range d.cores {
-		d.halt(c)
+		d.stopCore(c)
 	}
 	for _, c := range d.cores {
 		c.settings.FirstStart = false
-		d.start(c)
+		d.startCore(c)
 	}
 	eventually(t, "leader", func() error {
 		for _, c := range d.cores {
-			led, leading := c.core.leadership()
+			leader, leading := c.core.leadership()
 			if !leading {
 				continue
 			}
-			if total := led.divider.Totals(boottime.Now())["w"].Spent; total < recorded {
+			if total := leader.divider.Totals(boottime.Now())["w"].Spent; total < recorded {
 				t.Fatalf("the leader starts with %v spent, %v was recorded", total, recorded)
 			}
 			return nil
--- /dev/null
+++ b/internal/fleet/registry.go
@@ -0,0 +1,374 @@
+// Package fleet implements the replicated registry of targets and of the weights
+// that engines have to run. The package does no I/O.
+package fleet
+
+import (
+	"encoding/json"
+	"sync"
+	"time"
+
+	"github.com/cuminwing/cuminwing/internal/ratelimit"
+)
+
+// Target is one incarnation of an engine or of a plain service instance.
+type Target struct {
+	ID      string `json:"id"`
+	Service string `json:"service"`
+	Address string `json:"address"`
+	Zone    string `json:"zone"`
+	// Draining is set when the target must get no new requests. It is never
+	// cleared within an incarnation.
+	Draining bool `json:"draining,omitempty"`
+	// Model is the model of an engine, Weights the version of it that the
+	// engine runs.
+	Model   string `json:"model,omitempty"`
+	Weights uint64 `json:"weights,omitempty"`
+	// Started is the start time of the incarnation in Unix milliseconds.
+	Started int64 `json:"started"`
+	// Updating is set while the engine is being updated to new weights.
+	Updating bool `json:"updating,omitempty"`
+	// Revision is the log index of the last change of this target.
+	Revision uint64 `json:"revision"`
+}
+
+// equalIgnoringRevision reports whether t and other are equal apart from their
+// revisions.
+func (t Target) equalIgnoringRevision(other Target) bool {
+	t.Revision = other.Revision
+	return t == other
+}
+
+// newerThan reports whether t is a later incarnation than other.
+func (t *Target) newerThan(other *Target) bool { return t.Started > other.Started }
+
+// Command is a change of the registry. Exactly one field is set.
+type Command struct {
+	// Announce adds or updates a target.
+	Announce *Target `json:"announce,omitempty"`
+	// Leave is the ID of a target to remove.
+	Leave string `json:"leave,omitempty"`
+	// Weights sets the version that the engines of a model have to run.
+	Weights *Weights `json:"weights,omitempty"`
+	// Updates set or clear the update marks of engines.
+	Updates []UpdateMark `json:"updates,omitempty"`
+	// Spent records what workspaces have spent within the window of their
+	// quota.
+	Spent map[string]ratelimit.Spending `json:"spent,omitempty"`
+}
+
+// Weights is the version of a model that engines have to run.
+type Weights struct {
+	Model   string `json:"model"`
+	Version uint64 `json:"version"`
+}
+
+// UpdateMark sets or clears the mark of an engine that is being updated.
+type UpdateMark struct {
+	ID string `json:"id"`
+	// Updating sets or clears the mark. Weights is the version that the engine
+	// runs after the update.
+	Updating bool   `json:"updating"`
+	Weights  uint64 `json:"weights,omitempty"`
+}
+
+// Encode returns the encoding of c that is stored in the log.
+func (c Command) Encode() []byte {
+	data, err := json.Marshal(c)
+	if err != nil {
+		panic("fleet: encode command: " + err.Error())
+	}
+	return data
+}
+
+// maxDepartures limits the number of departed incarnations that are kept. They
+// are kept so that a delayed heartbeat does not register one again. The largest
+// deployment the system is designed for has 130 restarts a day.
+const maxDepartures = 1024
+
+// State is the content of the registry. A State that a Registry has returned is
+// never modified.
+type State struct {
+	Targets map[string]Target `json:"targets"`
+	// Weights maps each model to the version that its engines have to run.
+	Weights map[string]uint64 `json:"weights"`
+	// Departed holds the incarnations that were removed, oldest first.
+	Departed []Departure `json:"departed"`
+	// Spent is what workspaces had spent within the window of their quota when
+	// the leader last recorded it. A change of it does not change Revision.
+	Spent map[string]ratelimit.Spending `json:"spent,omitempty"`
+	// Revision is the log index of the last change of anything but Spent.
+	Revision uint64 `json:"revision"`
+}
+
+// Departure is an incarnation of a target that was removed.
+type Departure struct {
+	ID       string `json:"id"`
+	Started  int64  `json:"started"`
+	Revision uint64 `json:"revision"`
+}
+
+// Registry is the state machine that applies commands from the control log to a
+// State. It is safe for concurrent use.
+type Registry struct {
+	// OnChange is called after each change of the revision and after Restore,
+	// without the lock held. It may be nil.
+	OnChange func()
+
+	mu    sync.Mutex
+	state State
+	// readCopy is the copy of state that readers share. It is nil after a
+	// change until the next read.
+	readCopy *State
+}
+
+// NewRegistry returns an empty registry.
+func NewRegistry() *Registry { return &Registry{state: emptyState()} }
+
+func emptyState() State {
+	return State{Targets: map[string]Target{}, Weights: map[string]uint64{}}
+}
+
+// Current returns the current state. The caller must not modify it.
+func (r *Registry) Current() *State {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.readCopy == nil {
+		r.readCopy = r.state.clone()
+	}
+	return r.readCopy
+}
+
+func (s *State) clone() *State {
+	c := emptyState()
+	for k, v := range s.Targets {
+		c.Targets[k] = v
+	}
+	for k, v := range s.Weights {
+		c.Weights[k] = v
+	}
+	c.Departed = append([]Departure(nil), s.Departed...)
+	c.Spent = s.Spent
+	c.Revision = s.Revision
+	return &c
+}
+
+// Apply implements control.Part.
+func (r *Registry) Apply(index uint64, _ time.Time, body []byte) []byte {
+	var c Command
+	if err := json.Unmarshal(body, &c); err != nil {
+		return nil
+	}
+	r.mu.Lock()
+	changed := r.state.apply(index, c)
+	if changed {
+		r.state.Revision = index
+	}
+	if changed || c.Spent != nil {
+		r.readCopy = nil
+	}
+	r.mu.Unlock()
+	if changed && r.OnChange != nil {
+		r.OnChange()
+	}
+	return nil
+}
+
+// IsUpToDate reports whether announcing t would change nothing. A repeated
+// heartbeat therefore needs no log entry.
+func (s *State) IsUpToDate(t Target) bool {
+	existing, ok := s.Targets[t.ID]
+	if !ok {
+		return s.hasDeparted(t.ID, t.Started)
+	}
+	if existing.Started != t.Started {
+		return existing.newerThan(&t)
+	}
+	t.Draining = t.Draining || existing.Draining
+	t.Weights = max(t.Weights, existing.Weights)
+	t.Updating = existing.Updating
+	return t.equalIgnoringRevision(existing)
+}
+
+func (s *State) apply(index uint64, c Command) bool {
+	switch {
+	case c.Announce != nil:
+		return s.announce(index, *c.Announce)
+	case c.Leave != "":
+		return s.deregister(index, c.Leave)
+	case c.Weights != nil:
+		return s.setWeights(*c.Weights)
+	}
+	if c.Spent != nil {
+		s.Spent = c.Spent
+	}
+	changed := false
+	for _, u := range c.Updates {
+		changed = s.setUpdateMark(index, u) || changed
+	}
+	return changed
+}
+
+func (s *State) announce(index uint64, t Target) bool {
+	if s.hasDeparted(t.ID, t.Started) {
+		return false
+	}
+	existing, ok := s.Targets[t.ID]
+	if ok && existing.newerThan(&t) {
+		return false
+	}
+	if ok && existing.Started == t.Started {
+		t.Draining = t.Draining || existing.Draining
+		t.Weights = max(t.Weights, existing.Weights)
+		t.Updating = existing.Updating
+		if t.equalIgnoringRevision(existing) {
+			return false
+		}
+	}
+	if !s.removeReplaced(index, &t) {
+		return false
+	}
+	t.Revision = index
+	s.Targets[t.ID] = t
+	return true
+}
+
+func (s *State) hasDeparted(id string, started int64) bool {
+	for i := range s.Departed {
+		if s.Departed[i].ID == id && started <= s.Departed[i].Started {
+			return true
+		}
+	}
+	return false
+}
+
+// removeReplaced removes an older target that is registered at the address of t.
+// It returns false if the registered target is newer than t, which means that the
+// heartbeat of t was delayed.
+func (s *State) removeReplaced(index uint64, t *Target) bool {
+	for id, other := range s.Targets {
+		if id == t.ID || other.Address != t.Address {
+			continue
+		}
+		if other.newerThan(t) {
+			return false
+		}
+		s.remove(index, id)
+	}
+	return true
+}
+
+func (s *State) deregister(index uint64, id string) bool {
+	if _, ok := s.Targets[id]; !ok {
+		return false
+	}
+	s.remove(index, id)
+	return true
+}
+
+// remove removes a target and records its departure.
+func (s *State) remove(index uint64, id string) {
+	s.Departed = append(s.Departed, Departure{ID: id, Started: s.Targets[id].Started, Revision: index})
+	delete(s.Targets, id)
+	if extra := len(s.Departed) - maxDepartures; extra > 0 {
+		s.Departed = append([]Departure(nil), s.Departed[extra:]...)
+	}
+}
+
+func (s *State) setWeights(w Weights) bool {
+	if w.Version <= s.Weights[w.Model] {
+		return false
+	}
+	s.Weights[w.Model] = w.Version
+	return true
+}
+
+func (s *State) setUpdateMark(index uint64, u UpdateMark) bool {
+	before, ok := s.Targets[u.ID]
+	if !ok {
+		return false
+	}
+	t := before
+	t.Updating = u.Updating
+	t.Weights = max(t.Weights, u.Weights)
+	if t == before {
+		return false
+	}
+	t.Revision = index
+	s.Targets[u.ID] = t
+	return true
+}
+
+// Delta holds the changes of the registry since an earlier revision.
+type Delta struct {
+	// Full is set if Targets holds all targets, not only the changed ones.
+	Full     bool              `json:"whole,omitempty"`
+	Targets  []Target          `json:"targets,omitempty"`
+	Removed  []string          `json:"gone,omitempty"`
+	Weights  map[string]uint64 `json:"weights,omitempty"`
+	Revision uint64            `json:"revision"`
+}
+
+// DeltaSince returns the changes after a revision. It returns the full registry
+// if the departures since that revision are no longer all kept.
+func (s *State) DeltaSince(revision uint64) Delta {
+	d := Delta{Weights: s.Weights, Revision: s.Revision}
+	forgotten := len(s.Departed) == maxDepartures && s.Departed[0].Revision > revision
+	d.Full = revision == 0 || forgotten
+	for _, t := range s.Targets {
+		if d.Full || t.Revision > revision {
+			d.Targets = append(d.Targets, t)
+		}
+	}
+	for i := range s.Departed {
+		if !d.Full && s.Departed[i].Revision > revision {
+			d.Removed = append(d.Removed, s.Departed[i].ID)
+		}
+	}
+	return d
+}
+
+// Merge returns a copy of the registry with a delta applied.
+func (s *State) Merge(d Delta) *State {
+	c := s.clone()
+	if d.Full {
+		c.Targets = make(map[string]Target)
+	}
+	for _, id := range d.Removed {
+		delete(c.Targets, id)
+	}
+	for _, t := range d.Targets {
+		c.Targets[t.ID] = t
+	}
+	c.Weights = d.Weights
+	c.Revision = d.Revision
+	return c
+}
+
+// NewState returns an empty registry.
+func NewState() *State {
+	s := emptyState()
+	return &s
+}
+
+// Snapshot implements control.Part.
+func (r *Registry) Snapshot() ([]byte, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return json.Marshal(&r.state)
+}
+
+// Restore implements control.Part.
+func (r *Registry) Restore(data []byte) error {
+	state := emptyState()
+	if err := json.Unmarshal(data, &state); err != nil {
+		return err
+	}
+	r.mu.Lock()
+	r.state = *state.clone()
+	r.readCopy = nil
+	r.mu.Unlock()
+	if r.OnChange != nil {
+		r.OnChange()
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/registry_test.go
@@ -0,0 +1,139 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+)
+
+// apply applies a command at the next log index.
+func apply(t *testing.T, registry *Registry, c Command) {
+	t.Helper()
+	registry.Apply(registry.Current().Revision+1, time.Time{}, c.Encode())
+}
+
+func newTarget(id, address string, started int64) Target {
+	return Target{ID: id, Service: "s", Address: address, Zone: "z", Started: started}
+}
+
+func announce(t *testing.T, r *Registry, target Target) { apply(t, r, Command{Announce: &target}) }
+
+// Guards against a heartbeat, delayed by a partition, that registers a target
+// again after another one has replaced it at its address.
+func TestDelayedHeartbeatDoesNotReplaceSuccessorAtItsAddress(t *testing.T) {
+	registry := NewRegistry()
+	announce(t, registry, newTarget("old", "10.0.0.1:80", 100))
+	announce(t, registry, newTarget("new", "10.0.0.1:80", 200))
+	announce(t, registry, newTarget("old", "10.0.0.1:80", 100))
+	state := registry.Current()
+	if _, ok := state.Targets["old"]; ok || len(state.Targets) != 1 {
+		t.Errorf("targets are %v, want new only", state.Targets)
+	}
+	late := newTarget("unknown", "10.0.0.1:80", 150)
+	announce(t, registry, late)
+	if _, ok := registry.Current().Targets["new"]; !ok {
+		t.Error("older incarnation has replaced the newer one at its address")
+	}
+}
+
+// Guards against requests to a deregistered target: a heartbeat that the target
+// sent before its deregistration can arrive after it.
+func TestHeartbeatAfterDeregistrationIsIgnoredUntilTheNextStart(t *testing.T) {
+	registry := NewRegistry()
+	target := newTarget("a", "10.0.0.1:80", 100)
+	announce(t, registry, target)
+	apply(t, registry, Command{Leave: "a"})
+	announce(t, registry, target)
+	if len(registry.Current().Targets) != 0 {
+		t.Fatal("deregistered target is registered again")
+	}
+	if !registry.Current().IsUpToDate(target) {
+		t.Error("each heartbeat of a deregistered target would be committed")
+	}
+	announce(t, registry, newTarget("a", "10.0.0.1:80", 101))
+	if len(registry.Current().Targets) != 1 {
+		t.Error("restarted target with the same ID is not registered")
+	}
+}
+
+// Guards against reordered heartbeats: an older one must neither clear draining
+// nor lower the version of the weights.
+func TestDrainingAndWeightsNeverRevertWithinIncarnation(t *testing.T) {
+	registry := NewRegistry()
+	draining := newTarget("a", "10.0.0.1:80", 100)
+	draining.Draining, draining.Model, draining.Weights = true, "m", 3
+	announce(t, registry, draining)
+	older := newTarget("a", "10.0.0.1:80", 100)
+	older.Model, older.Weights = "m", 2
+	announce(t, registry, older)
+	got := registry.Current().Targets["a"]
+	if !got.Draining || got.Weights != 3 {
+		t.Errorf("target is %+v, want draining with weights 3", got)
+	}
+	restarted := newTarget("a", "10.0.0.1:80", 200)
+	announce(t, registry, restarted)
+	if registry.Current().Targets["a"].Draining {
+		t.Error("new incarnation is still draining")
+	}
+}
+
+// Guards against a front that misses a departure or a change: merging a delta must
+// yield the registry from any earlier revision.
+func TestDeltasLeadToTheRegistryFromAnyRevision(t *testing.T) {
+	registry := NewRegistry()
+	states := []*State{NewState()}
+	for i := range int64(40) {
+		id := string(rune('a' + i%7))
+		switch {
+		case i%5 == 4:
+			apply(t, registry, Command{Leave: id})
+		case i%11 == 10:
+			apply(t, registry, Command{Updates: []UpdateMark{{ID: id, Updating: true}}})
+		default:
+			announce(t, registry, newTarget(id, "10.0.0."+id, 100+i))
+		}
+		states = append(states, registry.Current())
+	}
+	last := registry.Current()
+	for i, known := range states {
+		merged := known.Merge(last.DeltaSince(known.Revision))
+		if len(merged.Targets) != len(last.Targets) {
+			t.Fatalf("from state %d: %d targets, want %d", i, len(merged.Targets), len(last.Targets))
+		}
+		for id, want := range last.Targets {
+			if merged.Targets[id] != want {
+				t.Fatalf("from state %d: %s is %+v, want %+v", i, id, merged.Targets[id], want)
+			}
+		}
+	}
+}
+
+// Guards against state that a snapshot does not contain.
+func TestSnapshotKeepsTheRegistry(t *testing.T) {
+	registry := NewRegistry()
+	announce(t, registry, newTarget("a", "10.0.0.1:80", 100))
+	apply(t, registry, Command{Weights: &Weights{Model: "m", Version: 4}})
+	apply(t, registry, Command{Leave: "a"})
+	data, err := registry.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := NewRegistry()
+	if err := restored.Restore(data); err != nil {
+		t.Fatal(err)
+	}
+	announce(t, restored, newTarget("a", "10.0.0.1:80", 100))
+	state := restored.Current()
+	if len(state.Targets) != 0 || state.Weights["m"] != 4 {
+		t.Errorf("restored state is %+v", state)
+	}
+}
+
+// Guards against a downgrade of the required weights by a repeated command.
+func TestRequiredWeightsOnlyIncrease(t *testing.T) {
+	registry := NewRegistry()
+	apply(t, registry, Command{Weights: &Weights{Model: "m", Version: 4}})
+	apply(t, registry, Command{Weights: &Weights{Model: "m", Version: 3}})
+	if got := registry.Current().Weights["m"]; got != 4 {
+		t.Errorf("weights are %d, want 4", got)
+	}
+}
--- a/internal/fleetsync/fronts.go
+++ b/internal/fleetsync/fronts.go
@@ -9,61 +9,65 @@
 )
 
 const (
-	// frontLost is when a silent front is left out of the lists.
-	frontLost = 5 * time.Second
-	// maxTogether is the number of fronts up to which all of them tell each
-	// other what they send. Larger fleets do so within a region, because the
-	// messages grow with the square of the number.
-	maxTogether = 24
+	// frontTimeout is the time since its last request after which a front is
+	// removed from the peer lists.
+	frontTimeout = 5 * time.Second
+	// maxMeshFronts is the largest number of fronts that announce their
+	// dispatches to all others. With more fronts, they do so only within a
+	// region, because the number of messages grows with the square of the
+	// number of fronts.
+	maxMeshFronts = 24
 )
 
-// Fronts is the leader's record of the fronts that follow it. It is safe for
-// concurrent use.
+// Fronts tracks the fronts that follow the leader. It is safe for concurrent use.
 type Fronts struct {
-	mu    sync.Mutex
-	known map[string]frontEntry
+	mu   sync.Mutex
+	byVM map[string]frontEntry
 }
 
 type frontEntry struct {
 	address string
 	region  string
-	seen    time.Duration
+	// lastRequest is when the front sent its last request, on the boot clock.
+	lastRequest time.Duration
 }
 
-// NewFronts returns an empty record.
-func NewFronts() *Fronts { return &Fronts{known: make(map[string]frontEntry)} }
+// NewFronts returns a Fronts that knows no front.
+func NewFronts() *Fronts { return &Fronts{byVM: make(map[string]frontEntry)} }
 
-// Seen notes a request of a front.
-func (f *Fronts) Seen(now time.Duration, r Request) {
+// RecordRequest records a request of a front, and drops the fronts that have
+// timed out.
+func (f *Fronts) RecordRequest(now time.Duration, r Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.known[r.VM] = frontEntry{r.Address, r.Region, now}
-	for vm, entry := range f.known {
-		if now-entry.seen > frontLost {
-			delete(f.known, vm)
+	f.byVM[r.VM] = frontEntry{r.Address, r.Region, now}
+	for vm, entry := range f.byVM {
+		if now-entry.lastRequest > frontTimeout {
+			delete(f.byVM, vm)
 		}
 	}
 }
 
-// List returns the other fronts that a front tells what it sends, with the
-// version of that list; no list if the front has that version.
-func (f *Fronts) List(r Request) ([]string, uint64) {
+// Peers returns the addresses of the fronts to which the requesting front
+// announces its dispatches, and the version of that list. The list is nil if the
+// front already has this version.
+func (f *Fronts) Peers(r Request) ([]string, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []string
-	for vm, entry := range f.known {
-		if vm != r.VM && (len(f.known) <= maxTogether || entry.region == r.Region) {
+	for vm, entry := range f.byVM {
+		if vm != r.VM && (len(f.byVM) <= maxMeshFronts || entry.region == r.Region) {
 			list = append(list, entry.address)
 		}
 	}
 	sort.Strings(list)
 	hash := xxhash.New()
 	for _, address := range list {
-		// A hash never fails to take bytes.
+		// Writing to a hash never fails.
 		_, _ = hash.WriteString(address + "\n")
 	}
 	version := hash.Sum64()
-	if version == r.Fronts {
+	if version == r.FrontsVersion {
 		return nil, version
 	}
 	return list, version
