--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// campaign starts an election, or with MsgPreVote asks whether one could be
-// won. The pre-vote keeps a replica that was cut off from raising the term.
+// campaign starts an election, or a pre-vote if kind is MsgPreVote. The pre-vote
+// prevents a replica that was partitioned from raising the term when it cannot
+// win an election.
 func (n *Node) campaign(kind MessageKind, transfer bool) {
 	now := n.config.Clock()
 	n.leader = ""
 	n.votes = make(map[string]bool)
-	n.transferring = transfer
-	n.timerStart = now
-	// A campaign that fails is repeated sooner than a lease lasts: this
-	// replica supports no leader by now.
-	n.timerLength = n.config.ElectionTimeout/4 + n.jitter(n.config.ElectionTimeout/2)
+	n.transferCampaign = transfer
+	n.electionTimerStart = now
+	// A failed campaign is retried sooner than after a full election timeout,
+	// because this replica is no longer within the lease of any leader.
+	n.electionTimerDuration = n.config.ElectionTimeout/4 + n.jitter(n.config.ElectionTimeout/2)
 	term := n.term + 1
 	n.role = PreCandidate
 	if kind == MsgVote {
@@ -37,35 +38,35 @@
 	})
 }
 
-// handlePreVote answers without changing any state.
+// handlePreVote responds to a pre-vote request without changing any state.
 func (n *Node) handlePreVote(m *Message) {
-	if n.formation.new || n.supporting(n.config.Clock()) {
+	if n.bootstrap.pending || n.withinLeaderLease(n.config.Clock()) {
 		return
 	}
-	if n.log.newer(m.Index, m.LogTerm) {
+	if n.log.isUpToDate(m.Index, m.LogTerm) {
 		n.send(Message{Kind: MsgPreVoteResponse, To: m.From, Term: m.Term})
 		return
 	}
 	n.send(Message{Kind: MsgPreVoteResponse, To: m.From, Reject: true})
 }
 
-// handleVote answers a request for a vote in the current term.
+// handleVote responds to a vote or pre-vote request of the current term.
 func (n *Node) handleVote(m *Message) {
 	if m.Kind == MsgPreVote {
 		n.send(Message{Kind: MsgPreVoteResponse, To: m.From, Reject: true})
 		return
 	}
 	now := n.config.Clock()
-	free := n.vote == m.From || n.vote == "" && n.leader == ""
-	if n.supporting(now) && !m.Transfer {
-		free = false
+	canGrant := n.vote == m.From || n.vote == "" && n.leader == ""
+	if n.withinLeaderLease(now) && !m.Transfer {
+		canGrant = false
 	}
-	if !free || n.formation.new || !n.log.newer(m.Index, m.LogTerm) {
+	if !canGrant || n.bootstrap.pending || !n.log.isUpToDate(m.Index, m.LogTerm) {
 		n.send(Message{Kind: MsgVoteResponse, To: m.From, Reject: true})
 		return
 	}
 	n.vote = m.From
-	n.resetTimer(now)
+	n.resetElectionTimer(now)
 	n.send(Message{Kind: MsgVoteResponse, To: m.From})
 }
 
@@ -80,7 +81,7 @@
 	if _, ok := n.votes[m.From]; !ok {
 		n.votes[m.From] = !m.Reject
 	}
-	if !n.won() {
+	if !n.wonElection() {
 		return
 	}
 	if pre {
@@ -90,21 +91,21 @@
 	n.becomeLeader()
 }
 
-func (n *Node) won() bool {
+func (n *Node) wonElection() bool {
 	members := n.log.members()
 	granted := 0
-	for id, yes := range n.votes {
-		if yes && members.Voter(id) {
+	for id, voteGranted := range n.votes {
+		if voteGranted && members.Voter(id) {
 			granted++
 		}
 	}
 	return granted >= members.Quorum()
 }
 
-// handleTimeoutNow campaigns without a pre-vote. The message is valid only in
-// the term of its sender, which has given up its lease before sending it.
+// handleTimeoutNow starts an election without a pre-vote. The request is valid
+// only in its sender's term: the sender gave up its lease before sending it.
 func (n *Node) handleTimeoutNow() {
-	if n.role == Leader || n.formation.new || !n.log.members().Voter(n.id) {
+	if n.role == Leader || n.bootstrap.pending || !n.log.members().Voter(n.id) {
 		return
 	}
 	n.campaign(MsgVote, true)
@@ -114,62 +115,62 @@
 	now := n.config.Clock()
 	n.role = Leader
 	n.leader = n.id
-	n.since = now
-	n.beat = now
+	n.leaderSince = now
+	n.lastHeartbeat = now
 	n.transferee = ""
-	n.transferring = false
+	n.transferCampaign = false
 	n.peers = make(map[string]*peer)
 	n.syncPeers()
-	n.termStart = n.appendOwn(Entry{Kind: EntryEmpty})
-	n.broadcast(true)
+	n.termStartIndex = n.appendEntry(Entry{Kind: EntryNoOp})
+	n.broadcastAppend(true)
 }
 
-func (n *Node) stopLeading() {
-	for _, r := range n.reads {
-		n.done = append(n.done, ReadState{ID: r.id, Failed: true})
+func (n *Node) clearLeaderState() {
+	for _, r := range n.pendingReads {
+		n.completedReads = append(n.completedReads, ReadState{ID: r.id, Failed: true})
 	}
-	n.reads = nil
+	n.pendingReads = nil
 	n.peers = nil
 	n.transferee = ""
 }
 
-// LeaseUntil returns the time of the clock until which no other replica can
-// lead, and false if this replica has no lease.
+// LeaseUntil returns the time, on the replica's own clock, until which no other
+// replica can become leader. It returns false if this replica holds no lease.
 func (n *Node) LeaseUntil() (time.Duration, bool) {
-	if n.role != Leader || n.log.commit < n.termStart {
+	if n.role != Leader || n.log.commit < n.termStartIndex {
 		return 0, false
 	}
-	base, ok := n.quorumEcho()
-	return base + n.lease, ok
+	leaseStart, ok := n.quorumAckedSendTime()
+	return leaseStart + n.leaseDuration, ok
 }
 
-// TransferLeadership hands the leadership to the voter with the most complete
-// log. It reports false if no other voter can take it.
+// TransferLeadership starts a transfer of the leadership to the responding voter
+// with the most up-to-date log. It returns false if there is no such voter.
 func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
 	}
-	best := ""
+	candidate := ""
 	for _, member := range n.log.members() {
 		p := n.peers[member.ID]
 		if p == nil || !member.Voter || !n.active(p) {
 			continue
 		}
-		if best == "" || p.match > n.peers[best].match {
-			best = member.ID
+		if candidate == "" || p.match > n.peers[candidate].match {
+			candidate = member.ID
 		}
 	}
-	if best == "" {
+	if candidate == "" {
 		return false
 	}
-	n.transferee = best
+	n.transferee = candidate
 	n.transferStart = n.config.Clock()
 	n.finishTransfer()
 	return true
 }
 
-// finishTransfer steps down in favour of a transferee that is caught up. The
-// lease ends before the transferee can campaign.
+// finishTransfer steps down once the transferee has caught up. This ends the
+// lease before the transferee can start its election.
 func (n *Node) finishTransfer() {
 	p := n.peers[n.transferee]
 	if p == nil || p.match != n.log.last() {
--- a/internal/raft/formation.go
+++ b/internal/raft/formation.go
@@ -1,44 +1,51 @@
 package raft
 
-// A replica that starts on an empty disk may be a new one, or one whose disk
-// was lost together with the votes and acknowledgements it had given. It
-// neither votes nor campaigns until it knows. It is new if all others of the
-// first voter set are empty as well. Otherwise it must be removed and added
-// again, and has caught up once it sees itself as a learner.
+// A replica that starts with an empty disk is either new or has lost its disk,
+// and with it the votes and acknowledgements that it had given. Until it knows
+// which, it is bootstrapping and neither votes nor campaigns. It is new if all
+// other replicas of the initial voter set are empty too. Otherwise it must be
+// removed and added again; its bootstrap ends once its log shows that it is a
+// learner.
 
-// formation is the state of a replica that has stored nothing yet.
-type formation struct {
-	// new is set until the replica may vote.
-	new bool
-	// nonce tells answers to this process from answers to an earlier one.
+// bootstrapState tracks the bootstrap of a replica that started with an empty
+// disk.
+type bootstrapState struct {
+	// pending is set until bootstrap has finished. Until then the replica must
+	// not vote.
+	pending bool
+	// nonce distinguishes responses to this process from responses to an earlier
+	// one.
 	nonce uint64
-	// empty and formed hold the others that answered so.
-	empty  map[string]bool
-	formed map[string]bool
-	// changed is set until Ready reports that the replica is formed.
-	changed bool
+	// empty and initialized hold, by ID, whether another replica answered that it
+	// has stored nothing, and that it has finished bootstrapping.
+	empty       map[string]bool
+	initialized map[string]bool
+	// finishUnsaved is set from the end of bootstrap until the caller has saved
+	// it.
+	finishUnsaved bool
 }
 
-func (n *Node) initFormation(blank bool) {
-	n.formation = formation{
-		new: blank, nonce: n.config.Rand.Uint64(),
-		empty: make(map[string]bool), formed: make(map[string]bool),
+func (n *Node) initBootstrap(pending bool) {
+	n.bootstrap = bootstrapState{
+		pending: pending, nonce: n.config.Rand.Uint64(),
+		empty: make(map[string]bool), initialized: make(map[string]bool),
 	}
-	n.checkFormation()
+	n.checkBootstrap()
 }
 
-// blank reports whether this replica has never taken part in anything.
-func (n *Node) blank() bool { return n.term == 0 && n.log.last() == 0 }
+// isEmpty reports whether this replica has never joined a term or stored an
+// entry.
+func (n *Node) isEmpty() bool { return n.term == 0 && n.log.last() == 0 }
 
-// waiting reports whether the first voter set is still forming. A voter must
-// not start the first election before all are formed: one that comes late
-// would find the others not empty.
-func (n *Node) waiting() bool {
-	return n.formation.new || n.blank() && !n.all(n.formation.formed)
+// bootstrapping reports whether this replica, or the initial voter set, is still
+// bootstrapping. A voter must not start the first election until all voters have
+// finished: a voter that starts later would find the others no longer empty.
+func (n *Node) bootstrapping() bool {
+	return n.bootstrap.pending || n.isEmpty() && !n.allOtherVoters(n.bootstrap.initialized)
 }
 
-// all reports whether every other voter is in set.
-func (n *Node) all(set map[string]bool) bool {
+// allOtherVoters reports whether set is true for every other voter.
+func (n *Node) allOtherVoters(set map[string]bool) bool {
 	for _, member := range n.log.members() {
 		if member.Voter && member.ID != n.id && !set[member.ID] {
 			return false
@@ -47,51 +54,52 @@
 	return true
 }
 
-// sayHello asks the other voters while the first voter set forms.
-func (n *Node) sayHello() {
+// sendBootstrapQueries asks the other voters whether they are empty and have
+// finished bootstrapping.
+func (n *Node) sendBootstrapQueries() {
 	for _, member := range n.log.members() {
 		if member.Voter && member.ID != n.id {
-			n.send(Message{Kind: MsgHello, To: member.ID, Round: n.formation.nonce})
+			n.send(Message{Kind: MsgBootstrapQuery, To: member.ID, Round: n.bootstrap.nonce})
 		}
 	}
 }
 
-func (n *Node) handleHello(m *Message) {
+func (n *Node) handleBootstrapQuery(m *Message) {
 	n.send(Message{
-		Kind: MsgHelloResponse, To: m.From, Round: m.Round,
-		Reject: !n.blank(),
+		Kind: MsgBootstrapQueryResponse, To: m.From, Round: m.Round,
+		Reject: !n.isEmpty(),
 	})
 }
 
-func (n *Node) handleHelloResponse(m *Message) {
-	f := &n.formation
-	if m.Round != f.nonce {
+func (n *Node) handleBootstrapQueryResponse(m *Message) {
+	b := &n.bootstrap
+	if m.Round != b.nonce {
 		return
 	}
-	f.empty[m.From] = !m.Reject
-	f.formed[m.From] = m.Formed
-	n.checkFormation()
+	b.empty[m.From] = !m.Reject
+	b.initialized[m.From] = m.Formed
+	n.checkBootstrap()
 }
 
-func (n *Node) checkFormation() {
-	if n.formation.new && n.blank() && n.log.members().Voter(n.id) && n.all(n.formation.empty) {
-		n.setFormed()
+func (n *Node) checkBootstrap() {
+	if n.bootstrap.pending && n.isEmpty() && n.log.members().Voter(n.id) && n.allOtherVoters(n.bootstrap.empty) {
+		n.finishBootstrap()
 	}
 }
 
-// checkLearner ends the formation of a replica that was added as a learner.
-// The commit must include an entry of the current leader: only then does it
-// include every earlier membership change.
-func (n *Node) checkLearner() {
-	if !n.formation.new || !n.log.matches(n.log.commit, n.term) {
+// checkLearnerBootstrap ends the bootstrap of a replica that was added as a
+// learner. Its commit index must cover an entry of the current leader's term:
+// only then does it cover every earlier membership change.
+func (n *Node) checkLearnerBootstrap() {
+	if !n.bootstrap.pending || !n.log.matches(n.log.commit, n.term) {
 		return
 	}
-	if member, ok := n.log.membersAt(n.log.commit).Find(n.id); ok && !member.Voter {
-		n.setFormed()
+	if member, ok := n.log.membershipAt(n.log.commit).Find(n.id); ok && !member.Voter {
+		n.finishBootstrap()
 	}
 }
 
-func (n *Node) setFormed() {
-	n.formation.new = false
-	n.formation.changed = true
+func (n *Node) finishBootstrap() {
+	n.bootstrap.pending = false
+	n.bootstrap.finishUnsaved = true
 }
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -5,18 +5,22 @@
 	"time"
 )
 
+// readRequest is a ReadIndex call that waits until a majority has answered a
+// request of its round.
 type readRequest struct {
 	id    uint64
 	round uint64
 	index uint64
 }
 
-// accepts reports whether this replica takes proposals.
-func (n *Node) accepts() bool { return n.role == Leader && n.transferee == "" }
+// acceptsProposals reports whether this replica is the leader and no leadership
+// transfer is in progress.
+func (n *Node) acceptsProposals() bool { return n.role == Leader && n.transferee == "" }
 
-// Propose appends commands and returns the position of the first.
+// Propose appends commands to the log and returns the index of the first one and
+// the term of all of them.
 func (n *Node) Propose(commands ...[]byte) (first, term uint64, err error) {
-	if !n.accepts() {
+	if !n.acceptsProposals() {
 		return 0, 0, ErrNotLeader
 	}
 	if n.log.last()-n.log.commit+uint64(len(commands)) > n.config.MaxUncommitted {
@@ -24,42 +28,42 @@
 	}
 	first = n.log.last() + 1
 	for _, c := range commands {
-		n.appendOwn(Entry{Kind: EntryCommand, Data: c})
+		n.appendEntry(Entry{Kind: EntryCommand, Data: c})
 	}
-	n.broadcast(false)
+	n.broadcastAppend(false)
 	return first, n.term, nil
 }
 
-// ReadIndex asks for a position that contains every command committed before
-// the call. A majority confirms the leadership first, so that the answer does
-// not depend on clocks.
+// ReadIndex requests a log index that covers every command committed before the
+// call. Ready returns it in Reads with the given ID. A majority confirms the
+// leadership first, so the result does not depend on clocks.
 func (n *Node) ReadIndex(id uint64) error {
-	if !n.accepts() {
+	if !n.acceptsProposals() {
 		return ErrNotLeader
 	}
-	n.round++
-	// Before its first commit the leader does not know what is committed;
-	// everything is before the first entry of its term.
-	index := max(n.log.commit, n.termStart)
-	n.reads = append(n.reads, readRequest{id, n.round, index})
-	n.broadcast(true)
+	n.readRound++
+	// Until an entry of its term is committed, the leader does not know which
+	// entries are committed, but all of them precede the first entry of its term.
+	index := max(n.log.commit, n.termStartIndex)
+	n.pendingReads = append(n.pendingReads, readRequest{id, n.readRound, index})
+	n.broadcastAppend(true)
 	n.confirmReads()
 	return nil
 }
 
-func (n *Node) appendOwn(e Entry) uint64 {
+func (n *Node) appendEntry(e Entry) uint64 {
 	e.Index = n.log.last() + 1
 	e.Term = n.term
 	n.log.add(e)
 	return e.Index
 }
 
-// syncPeers makes the peers follow the membership.
+// syncPeers adds and removes peers to match the current membership.
 func (n *Node) syncPeers() {
 	members := n.log.members()
 	for _, member := range members {
 		if member.ID != n.id && n.peers[member.ID] == nil {
-			n.peers[member.ID] = &peer{next: n.log.last() + 1, probing: true, probed: -n.config.HeartbeatInterval}
+			n.peers[member.ID] = &peer{next: n.log.last() + 1, probing: true, lastProbe: -n.config.HeartbeatInterval}
 		}
 	}
 	for id := range n.peers {
@@ -70,75 +74,77 @@
 }
 
 func (n *Node) tickLeader(now time.Duration) {
-	base, ok := n.quorumEcho()
-	if !ok || base < n.since {
-		base = n.since
+	leaseStart, ok := n.quorumAckedSendTime()
+	if !ok || leaseStart < n.leaderSince {
+		leaseStart = n.leaderSince
 	}
-	if now >= base+n.lease {
+	if now >= leaseStart+n.leaseDuration {
 		n.becomeFollower(n.term, "")
 		return
 	}
 	if n.transferee != "" && now-n.transferStart >= n.config.ElectionTimeout {
 		n.transferee = ""
 	}
-	if now-n.beat >= n.config.HeartbeatInterval {
-		n.beat = now
-		n.broadcast(true)
+	if now-n.lastHeartbeat >= n.config.HeartbeatInterval {
+		n.lastHeartbeat = now
+		n.broadcastAppend(true)
 	}
 }
 
-// broadcast sends entries, or with beat at least a heartbeat, to every
-// replica, and queues the leader's own acknowledgement.
-func (n *Node) broadcast(beat bool) {
+// broadcastAppend sends outstanding entries to every other replica and queues
+// the leader's own acknowledgement. If heartbeat is set, a replica without
+// outstanding entries gets a heartbeat.
+func (n *Node) broadcastAppend(heartbeat bool) {
 	for _, member := range n.log.members() {
 		if member.ID == n.id {
 			n.send(Message{Kind: MsgAppendResponse, To: n.id, Index: n.log.last()})
 			continue
 		}
-		n.replicate(member.ID, beat)
+		n.replicate(member.ID, heartbeat)
 	}
 }
 
-// active reports whether p answered a request sent within the lease.
+// active reports whether p has answered a request sent within the last lease
+// duration.
 func (n *Node) active(p *peer) bool {
-	return p.heard && n.config.Clock()-p.echo < n.lease
+	return p.responded && n.config.Clock()-p.ackedSendTime < n.leaseDuration
 }
 
-// replicate sends what a replica lacks; without entries to send it sends a
-// heartbeat if beat is set.
-func (n *Node) replicate(id string, beat bool) {
+// replicate sends a replica the entries or the snapshot that it lacks. If it
+// sends nothing else and heartbeat is set, it sends a heartbeat.
+func (n *Node) replicate(id string, heartbeat bool) {
 	p := n.peers[id]
 	if p == nil {
 		return
 	}
 	if p.next <= n.log.baseIndex {
-		n.sendSnapshot(id, p, beat)
+		n.sendSnapshot(id, p, heartbeat)
 		return
 	}
 	if p.probing {
-		n.probe(id, p, beat)
+		n.probe(id, p, heartbeat)
 		return
 	}
 	for p.next <= n.log.last() && p.next-p.match <= n.config.MaxInflight {
-		entries := n.log.limited(p.next, n.config.MaxAppendBytes)
+		entries := n.log.entriesFrom(p.next, n.config.MaxAppendBytes)
 		n.sendAppend(id, p.next-1, entries)
 		p.next += uint64(len(entries))
-		beat = false
+		heartbeat = false
 	}
-	if beat {
+	if heartbeat {
 		n.sendAppend(id, p.next-1, nil)
 	}
 }
 
-// probe sends one append at a time to a replica whose log is not known to
-// match: a window of appends would be rejected one by one, and answering each
-// rejection with a new window floods the network.
-func (n *Node) probe(id string, p *peer, beat bool) {
+// probe sends one append per heartbeat interval to a replica whose log is not
+// known to match. A full window of appends would be rejected one by one, and
+// sending a new window after each rejection would flood the network.
+func (n *Node) probe(id string, p *peer, heartbeat bool) {
 	now := n.config.Clock()
-	if now-p.probed >= n.config.HeartbeatInterval {
-		p.probed = now
-		n.sendAppend(id, p.next-1, n.log.limited(p.next, n.config.MaxAppendBytes))
-	} else if beat {
+	if now-p.lastProbe >= n.config.HeartbeatInterval {
+		p.lastProbe = now
+		n.sendAppend(id, p.next-1, n.log.entriesFrom(p.next, n.config.MaxAppendBytes))
+	} else if heartbeat {
 		n.sendAppend(id, p.next-1, nil)
 	}
 }
@@ -147,32 +153,32 @@
 	term, _ := n.log.term(prev)
 	n.send(Message{
 		Kind: MsgAppend, To: to, Index: prev, LogTerm: term, Commit: n.log.commit,
-		Entries: entries, Sent: n.config.Clock(), Round: n.round,
+		Entries: entries, Sent: n.config.Clock(), Round: n.readRound,
 	})
 }
 
-// handleAppend stores entries of the leader.
+// handleAppend stores entries from the leader and responds.
 func (n *Node) handleAppend(m *Message) {
-	answer := Message{Kind: MsgAppendResponse, To: m.From, Sent: m.Sent, Round: m.Round}
+	response := Message{Kind: MsgAppendResponse, To: m.From, Sent: m.Sent, Round: m.Round}
 	switch {
 	case m.Index < n.log.commit:
-		answer.Index = n.log.commit
+		response.Index = n.log.commit
 	case n.log.matches(m.Index, m.LogTerm):
 		n.log.merge(m.Entries)
-		answer.Index = m.Index + uint64(len(m.Entries))
-		n.log.commit = max(n.log.commit, min(m.Commit, answer.Index))
-		n.checkLearner()
+		response.Index = m.Index + uint64(len(m.Entries))
+		n.log.commit = max(n.log.commit, min(m.Commit, response.Index))
+		n.checkLearnerBootstrap()
 	default:
-		answer.Reject = true
-		answer.Index = m.Index
-		answer.Hint = n.hint(m.Index, m.LogTerm)
+		response.Reject = true
+		response.Index = m.Index
+		response.Hint = n.rejectHint(m.Index, m.LogTerm)
 	}
-	n.send(answer)
+	n.send(response)
 }
 
-// hint returns the last entry that may match a leader whose entry at index
-// has the given term: entries of later terms cannot.
-func (n *Node) hint(index, term uint64) uint64 {
+// rejectHint returns the last index at which this log can match that of a leader
+// whose entry at index has the given term. Entries of later terms cannot match.
+func (n *Node) rejectHint(index, term uint64) uint64 {
 	hint := min(index-1, n.log.last())
 	for hint > n.log.commit {
 		if own, ok := n.log.term(hint); !ok || own <= term {
@@ -188,7 +194,7 @@
 		return
 	}
 	if m.From == n.id {
-		n.commitMajority()
+		n.advanceCommit()
 		n.confirmReads()
 		return
 	}
@@ -196,28 +202,29 @@
 	if p == nil {
 		return
 	}
-	n.noteAnswer(p, m)
+	n.recordResponse(p, m)
 	switch {
 	case m.Reject:
-		n.noteRejection(m, p)
+		n.handleRejection(m, p)
 	case m.Index > p.match || p.probing && m.Index+1 >= p.next:
-		n.noteMatch(m.From, p, m.Index)
+		n.recordMatch(m.From, p, m.Index)
 	}
 	n.confirmReads()
 }
 
-func (n *Node) noteAnswer(p *peer, m *Message) {
-	p.heard = true
-	p.formed = m.Formed
-	p.echo = max(p.echo, m.Sent)
-	p.round = max(p.round, m.Round)
+func (n *Node) recordResponse(p *peer, m *Message) {
+	p.responded = true
+	p.initialized = m.Formed
+	p.ackedSendTime = max(p.ackedSendTime, m.Sent)
+	p.ackedRound = max(p.ackedRound, m.Round)
 }
 
-// noteRejection moves back to where the logs may match. Rejections of older
-// requests are ignored.
-func (n *Node) noteRejection(m *Message, p *peer) {
+// handleRejection moves p.next back to the follower's hint and probes from there.
+// It ignores rejections of outdated requests.
+func (n *Node) handleRejection(m *Message, p *peer) {
 	if m.Index+1 == p.next && m.Index == p.match && m.Hint < p.match {
-		// The replica has lost its disk.
+		// The replica no longer has entries that it acknowledged: it has lost
+		// its disk.
 		p.match = m.Hint
 	}
 	if m.Index <= p.match || p.probing && m.Index+1 != p.next {
@@ -225,19 +232,19 @@
 	}
 	p.next = max(p.match+1, min(m.Index, m.Hint+1))
 	p.probing = true
-	p.probed = n.config.Clock() - n.config.HeartbeatInterval
+	p.lastProbe = n.config.Clock() - n.config.HeartbeatInterval
 	n.replicate(m.From, false)
 }
 
-func (n *Node) noteMatch(id string, p *peer, index uint64) {
+func (n *Node) recordMatch(id string, p *peer, index uint64) {
 	if p.probing {
 		p.next = index + 1
 	}
 	p.match = max(p.match, index)
 	p.next = max(p.next, index+1)
 	p.probing = false
-	p.sending = 0
-	n.commitMajority()
+	p.snapshotIndex = 0
+	n.advanceCommit()
 	if n.transferee == id {
 		n.finishTransfer()
 	}
@@ -246,9 +253,10 @@
 	}
 }
 
-// commitMajority commits what a majority has stored. Only an entry of the
-// current term is committed by counting; earlier ones follow with it.
-func (n *Node) commitMajority() {
+// advanceCommit commits the entries that a majority of the voters has stored.
+// Only entries of the current term are committed by counting replicas; earlier
+// entries are committed along with them.
+func (n *Node) advanceCommit() {
 	stored := func(id string) uint64 {
 		if id == n.id {
 			return n.log.stable
@@ -260,59 +268,62 @@
 		return
 	}
 	n.log.commit = index
-	// Followers learn of the commitment at once rather than with the next
-	// heartbeat, because VMs wait for their own state to reach it.
+	// Followers are told the new commit index immediately instead of with the
+	// next heartbeat, because VMs wait until their own state has reached it.
 	for _, member := range n.log.members() {
 		n.replicate(member.ID, true)
 	}
 }
 
 // quorumValue returns the largest value that a majority of the voters has
-// reached.
+// reached or exceeded.
 func quorumValue[T uint64 | time.Duration](members Membership, value func(id string) T) T {
-	var all []T
+	var values []T
 	for _, member := range members {
 		if member.Voter {
-			all = append(all, value(member.ID))
+			values = append(values, value(member.ID))
 		}
 	}
-	slices.Sort(all)
-	return all[len(all)-members.Quorum()]
+	slices.Sort(values)
+	return values[len(values)-members.Quorum()]
 }
 
-// quorumEcho returns the latest time at which a majority is known to have
-// still supported this leader.
-func (n *Node) quorumEcho() (time.Duration, bool) {
+// quorumAckedSendTime returns the latest time such that a majority of the voters
+// has answered requests sent then or later. For ElectionTimeout from that time,
+// no other candidate can get the votes of a majority. It returns false if no
+// majority has answered in this term.
+func (n *Node) quorumAckedSendTime() (time.Duration, bool) {
 	members := n.log.members()
-	heard := 0
-	base := quorumValue(members, func(id string) time.Duration {
+	responded := 0
+	sendTime := quorumValue(members, func(id string) time.Duration {
 		if id == n.id {
-			heard++
+			responded++
 			return n.config.Clock()
 		}
 		p := n.peers[id]
-		if !p.heard {
+		if !p.responded {
 			return -1 << 62
 		}
-		heard++
-		return p.echo
+		responded++
+		return p.ackedSendTime
 	})
-	return base, heard >= members.Quorum()
+	return sendTime, responded >= members.Quorum()
 }
 
-// confirmReads answers the reads whose round a majority has answered.
+// confirmReads completes the pending reads whose round a majority of the voters
+// has answered.
 func (n *Node) confirmReads() {
-	if n.role != Leader || len(n.reads) == 0 {
+	if n.role != Leader || len(n.pendingReads) == 0 {
 		return
 	}
 	confirmed := quorumValue(n.log.members(), func(id string) uint64 {
 		if id == n.id {
-			return n.round
+			return n.readRound
 		}
-		return n.peers[id].round
+		return n.peers[id].ackedRound
 	})
-	for len(n.reads) > 0 && n.reads[0].round <= confirmed {
-		n.done = append(n.done, ReadState{ID: n.reads[0].id, Index: n.reads[0].index})
-		n.reads = n.reads[1:]
+	for len(n.pendingReads) > 0 && n.pendingReads[0].round <= confirmed {
+		n.completedReads = append(n.completedReads, ReadState{ID: n.pendingReads[0].id, Index: n.pendingReads[0].index})
+		n.pendingReads = n.pendingReads[1:]
 	}
 }
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,23 +2,26 @@
 
 import "fmt"
 
-// entryLog holds the entries after the last compaction in memory.
+// entryLog is the in-memory log: the entries after the last compaction.
 type entryLog struct {
-	// base is the entry before the first one held.
+	// baseIndex and baseTerm identify the last compacted entry, which precedes
+	// the first one held.
 	baseIndex uint64
 	baseTerm  uint64
 	entries   []Entry
-	// sets holds the memberships in force, oldest first. The first one is in
-	// force at the base.
-	sets   []membersAt
+	// memberships holds the membership at baseIndex, followed by one for each
+	// membership entry after it.
+	memberships []indexedMembership
+	// commit is the last entry known to be committed.
 	commit uint64
-	// applied is the last entry handed out for applying.
+	// applied is the last entry that the caller has applied.
 	applied uint64
-	// stable is the last entry known to be synced.
+	// stable is the last entry known to be synced to disk.
 	stable uint64
 }
 
-type membersAt struct {
+// indexedMembership is a membership and the index of the entry that set it.
+type indexedMembership struct {
 	index   uint64
 	members Membership
 }
@@ -29,11 +32,11 @@
 	return l
 }
 
-// reset replaces the log by a snapshot.
+// reset discards all entries and starts the log at a snapshot.
 func (l *entryLog) reset(s SnapshotMeta) {
 	l.baseIndex, l.baseTerm = s.Index, s.Term
 	l.entries = nil
-	l.sets = []membersAt{{s.Index, s.Members}}
+	l.memberships = []indexedMembership{{s.Index, s.Members}}
 	l.commit, l.applied, l.stable = s.Index, s.Index, s.Index
 }
 
@@ -44,7 +47,8 @@
 	return term
 }
 
-// term returns the term of an entry, and false if it is compacted or absent.
+// term returns the term of the entry at index, or false if that entry is
+// compacted or does not exist.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -60,7 +64,7 @@
 	return ok && t == term
 }
 
-// slice returns the entries from first to last, both included.
+// slice returns the entries from first to last, inclusive.
 func (l *entryLog) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -68,9 +72,9 @@
 	return l.entries[first-l.baseIndex-1 : last-l.baseIndex : last-l.baseIndex]
 }
 
-// limited returns entries from first on with at most maxBytes of data, and at
-// least one entry if there is any.
-func (l *entryLog) limited(first uint64, maxBytes int) []Entry {
+// entriesFrom returns entries starting at first, with at most maxBytes of data
+// in total. It returns at least one entry if any exists.
+func (l *entryLog) entriesFrom(first uint64, maxBytes int) []Entry {
 	all := l.slice(first, l.last())
 	size := 0
 	for i := range all {
@@ -82,11 +86,11 @@
 	return all
 }
 
-// add appends entries that directly follow the last one.
+// add appends entries, which must directly follow the last one.
 func (l *entryLog) add(entries ...Entry) {
 	for _, e := range entries {
 		if e.Index != l.last()+1 {
-			panic(fmt.Sprintf("raft: entry %d appended after %d", e.Index, l.last()))
+			panic(fmt.Sprintf("raft: appended entry %d to a log that ends at entry %d", e.Index, l.last()))
 		}
 		l.entries = append(l.entries, e)
 		if e.Kind != EntryMembers {
@@ -96,11 +100,12 @@
 		if err != nil {
 			panic(err.Error())
 		}
-		l.sets = append(l.sets, membersAt{e.Index, members})
+		l.memberships = append(l.memberships, indexedMembership{e.Index, members})
 	}
 }
 
-// merge stores entries of the leader, replacing those that conflict.
+// merge stores entries from the leader and truncates the log at the first
+// conflicting entry.
 func (l *entryLog) merge(entries []Entry) {
 	for i, e := range entries {
 		if l.matches(e.Index, e.Term) {
@@ -112,24 +117,25 @@
 	}
 }
 
-// truncate removes the entry at index and all after it.
+// truncate removes the entry at index and all entries after it.
 func (l *entryLog) truncate(index uint64) {
 	if index > l.last() {
 		return
 	}
 	if index <= l.commit {
-		panic(fmt.Sprintf("raft: committed entry %d conflicts with the leader", index))
+		panic(fmt.Sprintf("raft: committed entry %d conflicts with the leader's log", index))
 	}
 	keep := index - l.baseIndex - 1
-	// The full slice expression keeps entries already handed out unchanged.
+	// The full slice expression limits the capacity, so that later appends do not
+	// overwrite entries already returned to a caller.
 	l.entries = l.entries[:keep:keep]
 	l.stable = min(l.stable, index-1)
-	for len(l.sets) > 1 && l.sets[len(l.sets)-1].index >= index {
-		l.sets = l.sets[:len(l.sets)-1]
+	for len(l.memberships) > 1 && l.memberships[len(l.memberships)-1].index >= index {
+		l.memberships = l.memberships[:len(l.memberships)-1]
 	}
 }
 
-// compact drops the entries up to index.
+// compact discards the entries up to and including index.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.baseIndex || index > l.applied {
 		return
@@ -138,28 +144,28 @@
 	kept := l.slice(index+1, l.last())
 	l.entries = append(make([]Entry, 0, len(kept)), kept...)
 	l.baseIndex, l.baseTerm = index, term
-	for len(l.sets) > 1 && l.sets[1].index <= index {
-		l.sets = l.sets[1:]
+	for len(l.memberships) > 1 && l.memberships[1].index <= index {
+		l.memberships = l.memberships[1:]
 	}
 }
 
-func (l *entryLog) members() Membership { return l.sets[len(l.sets)-1].members }
+func (l *entryLog) members() Membership { return l.memberships[len(l.memberships)-1].members }
 
-func (l *entryLog) membersIndex() uint64 { return l.sets[len(l.sets)-1].index }
+func (l *entryLog) membershipIndex() uint64 { return l.memberships[len(l.memberships)-1].index }
 
-// membersAt returns the membership in force at index.
-func (l *entryLog) membersAt(index uint64) Membership {
-	for i := len(l.sets) - 1; i > 0; i-- {
-		if l.sets[i].index <= index {
-			return l.sets[i].members
+// membershipAt returns the membership in effect at index.
+func (l *entryLog) membershipAt(index uint64) Membership {
+	for i := len(l.memberships) - 1; i > 0; i-- {
+		if l.memberships[i].index <= index {
+			return l.memberships[i].members
 		}
 	}
-	return l.sets[0].members
+	return l.memberships[0].members
 }
 
-// newer reports whether a log that ends with the given entry is at least as
-// complete as this one.
-func (l *entryLog) newer(index, term uint64) bool {
+// isUpToDate reports whether a log whose last entry has the given index and term
+// is at least as up to date as this one.
+func (l *entryLog) isUpToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.last()
 }
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// MaxVoters is the largest number of voters.
+// MaxVoters is the maximum number of voters.
 const MaxVoters = 7
 
-// Member is one replica of the log.
+// Member describes one replica of the log.
 type Member struct {
 	ID      string
 	Address string
-	// Voter is false for a learner, which receives entries but has no vote.
+	// Voter is false for a learner, which receives entries but does not vote.
 	Voter bool
 }
 
 // Membership is the set of replicas, sorted by ID.
 type Membership []Member
 
-// NewVoters returns a membership of voters only.
+// NewVoters returns a membership of voters with the given IDs and addresses.
 func NewVoters(addresses map[string]string) Membership {
 	var m Membership
 	for id, address := range addresses {
@@ -46,7 +46,7 @@
 	return m[i], true
 }
 
-// Voter reports whether id has a vote.
+// Voter reports whether the member with the given ID is a voter.
 func (m Membership) Voter(id string) bool {
 	member, ok := m.Find(id)
 	return ok && member.Voter
@@ -63,10 +63,10 @@
 	return count
 }
 
-// Quorum returns the size of a majority of the voters.
+// Quorum returns the smallest number of voters that is a majority.
 func (m Membership) Quorum() int { return m.Voters()/2 + 1 }
 
-// Encode returns the stored form of m.
+// Encode returns the binary encoding of m that is stored on disk.
 func (m Membership) Encode() []byte {
 	var buf []byte
 	for _, member := range m {
@@ -77,25 +77,25 @@
 	return buf
 }
 
-var errMembership = errors.New("raft: encoded membership is damaged")
+var errMalformedMembership = errors.New("raft: malformed encoded membership")
 
-// DecodeMembership reads what Encode wrote.
+// DecodeMembership decodes the result of Encode.
 func DecodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	for len(data) > 0 {
 		id, n := protowire.ConsumeString(data)
 		if n < 0 {
-			return nil, errMembership
+			return nil, errMalformedMembership
 		}
 		data = data[n:]
 		address, n := protowire.ConsumeString(data)
 		if n < 0 {
-			return nil, errMembership
+			return nil, errMalformedMembership
 		}
 		data = data[n:]
 		voter, n := protowire.ConsumeVarint(data)
 		if n < 0 {
-			return nil, errMembership
+			return nil, errMalformedMembership
 		}
 		data = data[n:]
 		m = append(m, Member{id, address, protowire.DecodeBool(voter)})
@@ -103,10 +103,10 @@
 	return m, nil
 }
 
-// ChangeKind selects a membership change.
+// ChangeKind is the type of a membership change.
 type ChangeKind uint8
 
-// The membership changes. Each moves at most one voter.
+// The kinds of membership changes. Each adds or removes at most one voter.
 const (
 	AddLearner ChangeKind = iota + 1
 	Promote
@@ -120,7 +120,7 @@
 	Address string
 }
 
-// apply returns the membership after c.
+// apply returns the membership that results from c, or ErrBadChange.
 func (m Membership) apply(c Change) (Membership, error) {
 	next := slices.Clone(m)
 	i := slices.IndexFunc(next, func(x Member) bool { return x.ID == c.ID })
@@ -132,20 +132,21 @@
 	case c.Kind == Remove && i >= 0:
 		next = slices.Delete(next, i, i+1)
 	default:
-		return nil, fmt.Errorf("%w: change %d of %q", ErrBadChange, c.Kind, c.ID)
+		return nil, fmt.Errorf("%w: change kind %d for member %q", ErrBadChange, c.Kind, c.ID)
 	}
 	next.sort()
 	return next, nil
 }
 
-// ProposeChange appends a membership change. It takes effect when appended.
+// ProposeChange appends a membership change, which takes effect immediately,
+// before it is committed. It returns the index and term of the entry.
 func (n *Node) ProposeChange(c Change) (index, term uint64, err error) {
-	if !n.accepts() {
+	if !n.acceptsProposals() {
 		return 0, 0, ErrNotLeader
 	}
-	// A change before the first commit of the term could overlap with one of
-	// an earlier leader and leave two disjoint majorities.
-	if n.log.commit < n.termStart || n.log.membersIndex() > n.log.commit {
+	// Before the first commit of its term, a change could overlap with one of an
+	// earlier leader, and the two memberships could have disjoint majorities.
+	if n.log.commit < n.termStartIndex || n.log.membershipIndex() > n.log.commit {
 		return 0, 0, ErrChangePending
 	}
 	next, err := n.log.members().apply(c)
@@ -158,30 +159,33 @@
 	if c.Kind != AddLearner && !n.caughtUp(next, c) {
 		return 0, 0, ErrNotCaughtUp
 	}
-	index = n.appendOwn(Entry{Kind: EntryMembers, Data: next.Encode()})
+	index = n.appendEntry(Entry{Kind: EntryMembers, Data: next.Encode()})
 	n.syncPeers()
-	n.broadcast(true)
+	n.broadcastAppend(true)
 	return index, n.term, nil
 }
 
-// caughtUp reports whether a majority of the new voters answers and stores
-// every committed entry. Without this, losing one more VM right after a
-// repair could lose committed entries or block the log.
+// caughtUp reports whether a majority of the voters in next respond and store
+// every committed entry, and whether a learner to be promoted does too. Without
+// this check, the loss of one more VM right after a membership repair could lose
+// committed entries or block the log.
 func (n *Node) caughtUp(next Membership, c Change) bool {
-	ready := 0
+	caughtUpVoters := 0
 	for _, member := range next {
-		ok := member.ID == n.id || n.peerCurrent(member.ID)
+		ok := member.ID == n.id || n.peerCaughtUp(member.ID)
 		if c.Kind == Promote && member.ID == c.ID && !ok {
 			return false
 		}
 		if ok && member.Voter {
-			ready++
+			caughtUpVoters++
 		}
 	}
-	return ready >= next.Quorum()
+	return caughtUpVoters >= next.Quorum()
 }
 
-func (n *Node) peerCurrent(id string) bool {
+// peerCaughtUp reports whether a replica has finished bootstrapping, responds and
+// stores every committed entry.
+func (n *Node) peerCaughtUp(id string) bool {
 	p := n.peers[id]
-	return p != nil && p.formed && n.active(p) && p.match >= n.log.commit
+	return p != nil && p.initialized && n.active(p) && p.match >= n.log.commit
 }
--- a/internal/raft/network_test.go
+++ b/internal/raft/network_test.go
@@ -9,85 +9,95 @@
 	"time"
 )
 
-// host is a replica with its disk and its clock in a simulated network.
-type host struct {
+// simHost is a replica in a simulated network, with its disk and its clock.
+type simHost struct {
 	id   string
 	node *Node
-	// disk is what survives a crash.
-	disk Stored
-	data []byte
-	// first is the disk before the first start.
-	first Stored
-	// applied and sum describe the state machine: sum is a checksum over all
-	// applied entries.
-	applied uint64
-	sum     uint32
-	// rate and origin define the clock.
-	rate    float64
-	origin  time.Duration
+	// disk and snapshotData survive a crash.
+	disk         Stored
+	snapshotData []byte
+	// initialDisk is the content of the disk before the first start.
+	initialDisk Stored
+	// applied and checksum are the state of the state machine: the last applied
+	// entry and a checksum of all applied entries.
+	applied  uint64
+	checksum uint32
+	// The clock shows the simulated time times clockRate plus clockOffset.
+	clockRate   float64
+	clockOffset time.Duration
+	// A stalled replica does not run; its messages wait in inbox.
 	stalled bool
 	inbox   []Message
-	reads   map[uint64]uint64
-	ticked  time.Duration
+	// reads maps the ID of each read to the commit index when it was requested.
+	reads    map[uint64]uint64
+	lastTick time.Duration
 }
 
-type flight struct {
-	at time.Duration
-	m  Message
+type inflightMessage struct {
+	deliverAt time.Duration
+	message   Message
 }
 
 type link struct{ from, to string }
 
-// network simulates replicas, and checks the invariants after every event.
+// network simulates replicas and the network between them. It checks the
+// invariants after every event.
 type network struct {
-	rand    *rand.Rand
-	now     time.Duration
-	hosts   []*host
-	flights []flight
-	blocked map[link]bool
-	// loss and copies are the chances in percent that a message is lost or
-	// sent twice; delay bounds the latency.
-	loss, copies int
-	delay        time.Duration
-	tick         time.Duration
-	appendBytes  int
-	inflight     uint64
-	// eager makes many elections start as early as they may.
-	eager bool
-	// crashing is the chance per 10,000 that a replica with work crashes in
-	// the middle of it.
-	crashing int
+	rand             *rand.Rand
+	now              time.Duration
+	hosts            []*simHost
+	inflightMessages []inflightMessage
+	blocked          map[link]bool
+	// lossPercent and duplicatePercent are the probabilities that a message is
+	// lost or sent twice. maxDelay limits its latency.
+	lossPercent, duplicatePercent int
+	maxDelay                      time.Duration
+	tickInterval                  time.Duration
+	maxAppendBytes                int
+	maxInflight                   uint64
+	// earlyElections makes about half of all election timeouts the shortest
+	// possible.
+	earlyElections bool
+	// crashesPer10000 is the probability, out of 10,000, of a crash at each of the
+	// two crash points of processReady.
+	crashesPer10000 int
 
-	leaders   map[uint64]string
+	leaderByTerm map[uint64]string
+	// committed holds every entry that some replica has applied.
 	committed []Entry
-	// terms holds, for each committed entry, the term of the replica that
-	// first applied it, which is at least the term that committed it.
-	terms     []uint64
-	sums      []uint32
-	highest   uint64
-	nextRead  uint64
-	nextValue uint64
-	problem   string
+	// committedTerms holds, for each entry of committed, the term of the replica
+	// that first applied it. This is at least the term in which the entry was
+	// committed.
+	committedTerms []uint64
+	// checksums holds the checksum of the state machine at each index.
+	checksums     []uint32
+	highestCommit uint64
+	lastReadID    uint64
+	lastCommand   uint64
+	// failure describes the first violated invariant, or is empty.
+	failure string
 }
 
 const (
-	simElection = time.Second
-	simStep     = 5 * time.Millisecond
-	// Replicas that keep answering each other exceed these.
-	simMaxRounds  = 2000
-	simMaxFlights = 5000
-	simChunk      = 7
-	simStartTime  = time.Hour
+	simElectionTimeout = time.Second
+	simStep            = 5 * time.Millisecond
+	// simMaxRounds and simMaxInflightMessages limit the deliveries within one step
+	// and the messages in flight. They are exceeded only if replicas answer each
+	// other endlessly.
+	simMaxRounds           = 2000
+	simMaxInflightMessages = 5000
+	simChunkBytes          = 7
+	simStartTime           = time.Hour
 )
 
 func newNetwork(seed uint64, voters, spares int, rates []float64) *network {
 	w := &network{
-		rand: rand.New(rand.NewPCG(seed, 1)), now: simStartTime, delay: simStep, tick: simStep, appendBytes: 64, inflight: 16,
-		blocked: make(map[link]bool), leaders: make(map[uint64]string), sums: []uint32{0},
+		rand: rand.New(rand.NewPCG(seed, 1)), now: simStartTime, maxDelay: simStep, tickInterval: simStep, maxAppendBytes: 64, maxInflight: 16,
+		blocked: make(map[link]bool), leaderByTerm: make(map[uint64]string), checksums: []uint32{0},
 	}
 	addresses := make(map[string]string)
 	for i := range voters + spares {
-		h := &host{id: fmt.Sprintf("n%d", i), rate: rates[i%len(rates)]}
+		h := &simHost{id: fmt.Sprintf("n%d", i), clockRate: rates[i%len(rates)]}
 		if i < voters {
 			addresses[h.id] = h.id
 		}
@@ -98,81 +108,82 @@
 			h.disk.Snapshot.Members = NewVoters(addresses)
 		}
 		h.disk.New = true
-		h.first = h.disk
+		h.initialDisk = h.disk
 	}
 	return w
 }
 
 func (w *network) fail(format string, args ...any) {
-	if w.problem == "" {
-		w.problem = fmt.Sprintf("at %v: ", w.now-simStartTime) + fmt.Sprintf(format, args...)
+	if w.failure == "" {
+		w.failure = fmt.Sprintf("at %v: ", w.now-simStartTime) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *network) host(id string) *host {
-	i := slices.IndexFunc(w.hosts, func(h *host) bool { return h.id == id })
+func (w *network) host(id string) *simHost {
+	i := slices.IndexFunc(w.hosts, func(h *simHost) bool { return h.id == id })
 	return w.hosts[i]
 }
 
-func (w *network) clock(h *host) time.Duration {
-	return h.origin + time.Duration(float64(w.now)*h.rate)
+func (w *network) clock(h *simHost) time.Duration {
+	return h.clockOffset + time.Duration(float64(w.now)*h.clockRate)
 }
 
-func (w *network) start(h *host) {
-	h.origin = time.Duration(w.rand.Int64N(int64(time.Hour)))
+func (w *network) start(h *simHost) {
+	h.clockOffset = time.Duration(w.rand.Int64N(int64(time.Hour)))
 	h.inbox, h.reads, h.stalled = nil, make(map[uint64]uint64), false
 	stored := h.disk
 	stored.Entries = slices.Clone(stored.Entries)
-	h.applied, h.sum = stored.Snapshot.Index, 0
-	if len(h.data) > 0 {
-		h.sum = binary.LittleEndian.Uint32(h.data)
+	h.applied, h.checksum = stored.Snapshot.Index, 0
+	if len(h.snapshotData) > 0 {
+		h.checksum = binary.LittleEndian.Uint32(h.snapshotData)
 	}
 	h.node = New(Config{
-		ID: h.id, ElectionTimeout: simElection, HeartbeatInterval: 300 * time.Millisecond,
+		ID: h.id, ElectionTimeout: simElectionTimeout, HeartbeatInterval: 300 * time.Millisecond,
 		Clock: func() time.Duration { return w.clock(h) }, Rand: rand.New(w),
-		MaxAppendBytes: w.appendBytes, MaxInflight: w.inflight, MaxUncommitted: 256,
+		MaxAppendBytes: w.maxAppendBytes, MaxInflight: w.maxInflight, MaxUncommitted: 256,
 	}, stored)
 }
 
-// Uint64 is the random source of the replicas.
+// Uint64 makes network the random source of the replicas.
 func (w *network) Uint64() uint64 {
-	if w.eager && w.rand.IntN(2) == 0 {
+	if w.earlyElections && w.rand.IntN(2) == 0 {
 		return 1 << 20
 	}
 	return w.rand.Uint64()
 }
 
-// process carries out the work of a replica, which may crash in between.
-func (w *network) process(h *host) {
+// processReady carries out the pending work of a replica. The replica may crash
+// before or after the sync.
+func (w *network) processReady(h *simHost) {
 	for h.node != nil && !h.stalled && h.node.HasReady() {
 		ready := h.node.Ready()
 		w.transmit(h, ready.Messages, false)
-		if w.crashes(h) {
+		if w.maybeCrash(h) {
 			return
 		}
-		h.save(&ready)
-		if w.crashes(h) {
+		h.persist(&ready)
+		if w.maybeCrash(h) {
 			return
 		}
 		w.transmit(h, ready.Messages, true)
 		w.apply(h, &ready)
 		h.node.Advance()
-		w.check()
+		w.checkInvariants()
 	}
 }
 
-func (w *network) crashes(h *host) bool {
-	if w.rand.IntN(10000) < w.crashing {
+func (w *network) maybeCrash(h *simHost) bool {
+	if w.rand.IntN(10000) < w.crashesPer10000 {
 		h.node = nil
 		return true
 	}
 	return false
 }
 
-// save is what a sync makes durable: all of a Ready or nothing.
-func (h *host) save(r *Ready) {
+// persist writes a Ready to the disk. A sync makes all of it durable or nothing.
+func (h *simHost) persist(r *Ready) {
 	if r.Snapshot != nil {
-		h.disk.Snapshot, h.data, h.disk.Entries = r.Snapshot.SnapshotMeta, r.Snapshot.Data, nil
+		h.disk.Snapshot, h.snapshotData, h.disk.Entries = r.Snapshot.SnapshotMeta, r.Snapshot.Data, nil
 	}
 	if r.HardState != nil {
 		h.disk.HardState = *r.HardState
@@ -186,37 +197,37 @@
 	}
 }
 
-func (w *network) transmit(h *host, messages []Message, promise bool) {
+func (w *network) transmit(h *simHost, messages []Message, promise bool) {
 	for _, m := range messages {
-		if m.Promise() != promise || w.rand.IntN(100) < w.loss {
+		if m.Promise() != promise || w.rand.IntN(100) < w.lossPercent {
 			continue
 		}
 		if m.Kind == MsgSnapshot {
 			if m.Snapshot.Index != h.disk.Snapshot.Index {
 				continue
 			}
-			m.Data = h.data[min(m.Offset, uint64(len(h.data))):min(m.Offset+simChunk, uint64(len(h.data)))]
+			m.Data = h.snapshotData[min(m.Offset, uint64(len(h.snapshotData))):min(m.Offset+simChunkBytes, uint64(len(h.snapshotData)))]
 		}
 		m.Entries = slices.Clone(m.Entries)
-		for range 1 + btoi(w.rand.IntN(100) < w.copies) {
-			at := w.now + time.Duration(w.rand.Int64N(int64(w.delay)))
-			w.flights = append(w.flights, flight{at, m})
+		for range 1 + boolToInt(w.rand.IntN(100) < w.duplicatePercent) {
+			at := w.now + time.Duration(w.rand.Int64N(int64(w.maxDelay)))
+			w.inflightMessages = append(w.inflightMessages, inflightMessage{at, m})
 		}
 	}
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (w *network) apply(h *host, r *Ready) {
+func (w *network) apply(h *simHost, r *Ready) {
 	if s := r.Snapshot; s != nil {
-		h.applied, h.sum = s.Index, binary.LittleEndian.Uint32(s.Data)
-		if s.Index >= uint64(len(w.sums)) || w.sums[s.Index] != h.sum {
-			w.fail("%s installed a snapshot at %d that differs from the applied state", h.id, s.Index)
+		h.applied, h.checksum = s.Index, binary.LittleEndian.Uint32(s.Data)
+		if s.Index >= uint64(len(w.checksums)) || w.checksums[s.Index] != h.checksum {
+			w.fail("%s installed a snapshot at index %d that differs from the applied state", h.id, s.Index)
 		}
 	}
 	for _, e := range r.Committed {
@@ -224,105 +235,108 @@
 	}
 	for _, s := range r.Reads {
 		if before, ok := h.reads[s.ID]; ok && !s.Failed && s.Index < before {
-			w.fail("read on %s returned %d after %d was committed", h.id, s.Index, before)
+			w.fail("read on %s returned index %d although entry %d was already committed", h.id, s.Index, before)
 		}
 	}
 }
 
-func (w *network) applyEntry(h *host, e Entry) {
+func (w *network) applyEntry(h *simHost, e Entry) {
 	if e.Index != h.applied+1 {
-		w.fail("%s applied %d after %d", h.id, e.Index, h.applied)
+		w.fail("%s applied entry %d after entry %d", h.id, e.Index, h.applied)
 		return
 	}
 	h.applied = e.Index
-	h.sum = crc32.Update(h.sum, crc32.IEEETable, append([]byte{byte(e.Term), byte(e.Kind)}, e.Data...))
+	h.checksum = crc32.Update(h.checksum, crc32.IEEETable, append([]byte{byte(e.Term), byte(e.Kind)}, e.Data...))
 	if e.Index <= uint64(len(w.committed)) {
 		known := w.committed[e.Index-1]
 		if known.Term != e.Term || known.Kind != e.Kind || string(known.Data) != string(e.Data) {
-			w.fail("%s applied entry %d of term %d, others that of term %d", h.id, e.Index, e.Term, known.Term)
+			w.fail("%s applied entry %d of term %d, which differs from the entry of term %d applied by another replica", h.id, e.Index, e.Term, known.Term)
 		}
 		return
 	}
 	w.committed = append(w.committed, e)
-	w.terms = append(w.terms, h.node.term)
-	w.sums = append(w.sums, h.sum)
+	w.committedTerms = append(w.committedTerms, h.node.term)
+	w.checksums = append(w.checksums, h.checksum)
 }
 
-// check verifies the invariants that hold at every moment.
-func (w *network) check() {
-	var holder *host
+// checkInvariants checks the invariants that must hold at all times.
+func (w *network) checkInvariants() {
+	var holder *simHost
 	for _, h := range w.hosts {
 		if h.node == nil {
 			continue
 		}
-		w.highest = max(w.highest, h.node.log.commit)
+		w.highestCommit = max(w.highestCommit, h.node.log.commit)
 		if h.node.role == Leader {
-			w.checkLeader(h)
+			w.checkNewLeader(h)
 		}
 		if until, ok := h.node.LeaseUntil(); ok && w.clock(h) < until {
 			if holder != nil {
-				w.fail("%s and %s hold a lease", holder.id, h.id)
+				w.fail("both %s and %s hold a lease", holder.id, h.id)
 			}
 			holder = h
 		}
 	}
 	for _, h := range w.hosts {
 		if holder != nil && h.node != nil && h.node.role == Leader && h.node.term > holder.node.term {
-			w.fail("%s leads term %d while %s holds the lease of term %d", h.id, h.node.term, holder.id, holder.node.term)
+			w.fail("%s is leader of term %d while %s holds the lease of term %d", h.id, h.node.term, holder.id, holder.node.term)
 		}
 	}
 }
 
-func (w *network) checkLeader(h *host) {
+// checkNewLeader checks that a term has one leader, and that a new leader's log
+// contains all entries committed in earlier terms.
+func (w *network) checkNewLeader(h *simHost) {
 	n := h.node
-	if known, ok := w.leaders[n.term]; ok {
+	if known, ok := w.leaderByTerm[n.term]; ok {
 		if known != h.id {
-			w.fail("%s and %s lead term %d", known, h.id, n.term)
+			w.fail("both %s and %s are leaders of term %d", known, h.id, n.term)
 		}
 		return
 	}
-	w.leaders[n.term] = h.id
+	w.leaderByTerm[n.term] = h.id
 	for i, e := range w.committed {
-		// A replica that was stalled may still win an earlier term.
-		if w.terms[i] < n.term && e.Index > n.log.baseIndex && !n.log.matches(e.Index, e.Term) {
-			w.fail("%s leads term %d without committed entry %d", h.id, n.term, e.Index)
+		// A replica that was stalled can still win the election of an earlier
+		// term and lack entries committed later.
+		if w.committedTerms[i] < n.term && e.Index > n.log.baseIndex && !n.log.matches(e.Index, e.Term) {
+			w.fail("%s is leader of term %d but lacks committed entry %d", h.id, n.term, e.Index)
 			return
 		}
 	}
 }
 
-// run lets time pass.
+// run advances the simulated time by d.
 func (w *network) run(d time.Duration) {
 	end := w.now + d
-	for w.now < end && w.problem == "" {
+	for w.now < end && w.failure == "" {
 		w.now += simStep
 		for rounds := 0; w.deliver(); rounds++ {
-			if rounds == simMaxRounds || len(w.flights) > simMaxFlights {
-				w.fail("messages are exchanged without end")
+			if rounds == simMaxRounds || len(w.inflightMessages) > simMaxInflightMessages {
+				w.fail("replicas exchange messages endlessly")
 				return
 			}
 		}
 		for _, h := range w.hosts {
-			if h.node == nil || h.stalled || w.now-h.ticked < w.tick {
+			if h.node == nil || h.stalled || w.now-h.lastTick < w.tickInterval {
 				continue
 			}
-			h.ticked = w.now
+			h.lastTick = w.now
 			h.node.Tick()
-			w.check()
-			w.process(h)
+			w.checkInvariants()
+			w.processReady(h)
 		}
 	}
 }
 
-// deliver hands over the messages that are due, in random order. It reports
-// whether there were any.
+// deliver delivers the messages that are due, in random order. It reports
+// whether any were due.
 func (w *network) deliver() bool {
 	var due []Message
-	w.flights = slices.DeleteFunc(w.flights, func(f flight) bool {
-		if f.at <= w.now {
-			due = append(due, f.m)
+	w.inflightMessages = slices.DeleteFunc(w.inflightMessages, func(f inflightMessage) bool {
+		if f.deliverAt <= w.now {
+			due = append(due, f.message)
 		}
-		return f.at <= w.now
+		return f.deliverAt <= w.now
 	})
 	w.rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	for _, m := range due {
@@ -331,12 +345,12 @@
 			continue
 		}
 		h.inbox = append(h.inbox, m)
-		w.handle(h)
+		w.processInbox(h)
 	}
 	return len(due) > 0
 }
 
-func (w *network) handle(h *host) {
+func (w *network) processInbox(h *simHost) {
 	if h.stalled {
 		return
 	}
@@ -345,42 +359,42 @@
 			return
 		}
 		h.node.Step(m)
-		w.check()
-		w.process(h)
+		w.checkInvariants()
+		w.processReady(h)
 	}
 	h.inbox = nil
 }
 
-func (w *network) propose(h *host, count int) {
+func (w *network) propose(h *simHost, count int) {
 	var commands [][]byte
 	for range count {
-		w.nextValue++
-		commands = append(commands, binary.AppendUvarint(nil, w.nextValue))
+		w.lastCommand++
+		commands = append(commands, binary.AppendUvarint(nil, w.lastCommand))
 	}
 	_, _, _ = h.node.Propose(commands...)
-	w.check()
-	w.process(h)
+	w.checkInvariants()
+	w.processReady(h)
 }
 
-func (w *network) read(h *host) {
-	w.nextRead++
-	before := w.highest
-	h.reads[w.nextRead] = before
-	_ = h.node.ReadIndex(w.nextRead)
-	w.process(h)
+func (w *network) read(h *simHost) {
+	w.lastReadID++
+	before := w.highestCommit
+	h.reads[w.lastReadID] = before
+	_ = h.node.ReadIndex(w.lastReadID)
+	w.processReady(h)
 }
 
-func (w *network) compact(h *host, retain uint64) {
+func (w *network) compact(h *simHost, retain uint64) {
 	if h.applied <= h.disk.Snapshot.Index {
 		return
 	}
 	term, _ := h.node.TermAt(h.applied)
-	// The padding makes a snapshot several chunks long.
-	data := binary.LittleEndian.AppendUint32(nil, h.sum)
+	// The padding makes the snapshot several chunks long.
+	data := binary.LittleEndian.AppendUint32(nil, h.checksum)
 	data = append(data, make([]byte, 20)...)
 	meta := SnapshotMeta{Index: h.applied, Term: term, Members: h.node.MembersAt(h.applied), Size: uint64(len(data))}
 	h.disk.Entries = slices.Clone(h.disk.Entries[h.applied-h.disk.Snapshot.Index:])
-	h.disk.Snapshot, h.data = meta, data
+	h.disk.Snapshot, h.snapshotData = meta, data
 	h.node.Compact(meta, retain)
-	w.check()
+	w.checkInvariants()
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -6,137 +6,162 @@
 	"time"
 )
 
-// driftPermille bounds how far a clock may run fast or slow, in thousandths.
-const driftPermille = 10
+// maxClockDriftPermille is the largest deviation of a clock's rate, fast or slow,
+// that leases tolerate, in thousandths.
+const maxClockDriftPermille = 10
 
-// Config holds what a replica needs to start.
+// Config holds the parameters of a replica.
 type Config struct {
 	ID string
-	// ElectionTimeout is how long followers refuse votes after they heard
-	// from a leader. Elections start between 1 and 1.5 times this after.
+	// ElectionTimeout is how long a follower refuses to vote for another
+	// candidate after hearing from the leader. It starts an election after 1 to
+	// 1.5 times this duration without contact.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is how often an idle leader contacts the others.
+	// HeartbeatInterval is the interval at which an idle leader contacts the
+	// other replicas.
 	HeartbeatInterval time.Duration
-	// Clock is monotonic; its zero is arbitrary.
+	// Clock returns monotonic time with an arbitrary origin.
 	Clock func() time.Duration
 	Rand  *rand.Rand
-	// MaxAppendBytes bounds the data of one append message.
+	// MaxAppendBytes limits the entry data in one append message. A single entry
+	// may exceed it.
 	MaxAppendBytes int
-	// MaxInflight bounds the entries sent to a replica and not acknowledged.
+	// MaxInflight limits the entries sent to a replica but not yet acknowledged.
+	// The last append message may exceed it.
 	MaxInflight uint64
-	// MaxUncommitted bounds the entries of a leader that wait for commitment.
+	// MaxUncommitted limits the uncommitted entries in the leader's log. Further
+	// proposals fail with ErrBusy.
 	MaxUncommitted uint64
 }
 
-// Stored is the durable state that a replica starts from.
+// Stored is the persistent state that a replica starts from.
 type Stored struct {
 	HardState HardState
 	Snapshot  SnapshotMeta
-	// Entries directly follow the snapshot.
+	// Entries holds the entries after the snapshot.
 	Entries []Entry
-	// New is set until a Ready has reported that the replica is formed.
+	// Set until a Ready has reported that the replica finished bootstrapping.
 	New bool
 }
 
-// Node is one replica. It is not safe for concurrent use.
+// Node is the consensus state of one replica. It is not safe for concurrent use.
 type Node struct {
 	config Config
 	id     string
-	lease  time.Duration
+	// leaseDuration is ElectionTimeout reduced by the largest clock drift on both
+	// sides, so that the leader's lease ends before a follower can vote for
+	// another candidate.
+	leaseDuration time.Duration
 
 	term uint64
 	vote string
 	log  *entryLog
 	role Role
-	// leader is empty while none is known in this term.
+	// leader is the known leader of the current term, or empty.
 	leader string
 
-	// heard is when this replica last heard from a leader; until one election
-	// timeout later it supports no other.
-	heard time.Duration
-	// timerStart and timerLength say when the next campaign starts.
-	timerStart  time.Duration
-	timerLength time.Duration
-	votes       map[string]bool
-	// transferring marks a campaign that the former leader asked for.
-	transferring bool
+	// lastLeaderContact is when this replica last heard from a leader. For one
+	// election timeout after that it votes for no other candidate, except in a
+	// leadership transfer.
+	lastLeaderContact time.Duration
+	// The next campaign starts electionTimerDuration after electionTimerStart.
+	electionTimerStart    time.Duration
+	electionTimerDuration time.Duration
+	votes                 map[string]bool
+	// transferCampaign is set during a campaign that the previous leader
+	// requested.
+	transferCampaign bool
 
-	// The fields below are used while leading.
-	peers     map[string]*peer
-	termStart uint64
-	since     time.Duration
-	beat      time.Duration
-	round     uint64
-	reads     []readRequest
-	// transferee is to take over the leadership; empty without a transfer.
+	// The fields from here to transferStart are used only by the leader.
+	peers map[string]*peer
+	// termStartIndex is the index of the first entry of the leader's term.
+	termStartIndex uint64
+	leaderSince    time.Duration
+	lastHeartbeat  time.Duration
+	// readRound numbers the rounds of requests that confirm the leadership for
+	// reads.
+	readRound    uint64
+	pendingReads []readRequest
+	// transferee is the voter that is to take over the leadership, or empty.
 	transferee    string
 	transferStart time.Duration
 
-	formation formation
-	snapshot  SnapshotMeta
-	incoming  *assembly
+	bootstrap bootstrapState
+	// snapshot describes the latest snapshot on disk.
+	snapshot SnapshotMeta
+	// incoming is the snapshot being received, or nil.
+	incoming *incomingSnapshot
+	// installed is a received snapshot that Ready has to return, or nil.
 	installed *Snapshot
 
-	saved    HardState
-	messages []Message
-	done     []ReadState
+	// savedState is the hard state on disk.
+	savedState HardState
+	// messages and completedReads are returned by the next Ready. Messages to
+	// this replica itself are handled by Advance.
+	messages       []Message
+	completedReads []ReadState
 }
 
-// peer is what a leader knows of another replica.
+// peer is the leader's view of another replica.
 type peer struct {
+	// match is the last entry known to match the leader's log, and next the next
+	// entry to send.
 	match uint64
 	next  uint64
-	// probing is set until the logs are known to match before next; probed is
-	// when the last append was sent meanwhile.
-	probing bool
-	probed  time.Duration
-	// echo is the send time of the latest request that was answered.
-	echo  time.Duration
-	round uint64
-	heard bool
-	// formed is false while the replica may not vote.
-	formed bool
-	// sending is the index of the snapshot being sent; 0 if none.
-	sending   uint64
-	offset    uint64
-	chunkSent time.Duration
+	// probing is set until the logs are known to match up to the entry before
+	// next. lastProbe is when the last probe was sent.
+	probing   bool
+	lastProbe time.Duration
+	// ackedSendTime is the send time of the latest request that the replica has
+	// answered, and ackedRound the latest read round that it has answered.
+	ackedSendTime time.Duration
+	ackedRound    uint64
+	// responded is set once the replica has answered in this term.
+	responded bool
+	// initialized is set if the replica has finished bootstrapping.
+	initialized bool
+	// snapshotIndex is the index of the snapshot being sent, or 0.
+	snapshotIndex  uint64
+	snapshotOffset uint64
+	lastChunkSent  time.Duration
 }
 
-// New returns a replica that continues from stored.
+// New returns a replica that resumes from its persistent state.
 func New(config Config, stored Stored) *Node {
 	n := &Node{
-		config:   config,
-		id:       config.ID,
-		lease:    config.ElectionTimeout * (1000 - driftPermille) / (1000 + driftPermille),
-		term:     stored.HardState.Term,
-		vote:     stored.HardState.Vote,
-		saved:    stored.HardState,
-		log:      newEntryLog(stored.Snapshot),
-		snapshot: stored.Snapshot,
+		config:        config,
+		id:            config.ID,
+		leaseDuration: config.ElectionTimeout * (1000 - maxClockDriftPermille) / (1000 + maxClockDriftPermille),
+		term:          stored.HardState.Term,
+		vote:          stored.HardState.Vote,
+		savedState:    stored.HardState,
+		log:           newEntryLog(stored.Snapshot),
+		snapshot:      stored.Snapshot,
 	}
 	n.log.add(stored.Entries...)
 	n.log.stable = n.log.last()
-	n.startTimer(stored.HardState.Term == 0)
-	n.initFormation(stored.New)
+	n.startElectionTimer(stored.HardState.Term == 0)
+	n.initBootstrap(stored.New)
 	return n
 }
 
-// startTimer sets the first election timer. A replica that may have supported
-// a leader before its restart waits out that leader's lease; a new replica
-// and a sole voter have supported no other and need not wait.
-func (n *Node) startTimer(fresh bool) {
+// startElectionTimer sets the first election timer. A replica that may have
+// acknowledged a leader before its restart waits until that leader's lease has
+// expired. A new replica and a sole voter cannot have acknowledged another
+// leader and do not wait.
+func (n *Node) startElectionTimer(isNew bool) {
 	now := n.config.Clock()
-	n.timerStart = now
+	n.electionTimerStart = now
 	members := n.log.members()
-	sole := members.Voters() == 1 && members.Voter(n.id)
-	if !fresh && !sole {
-		n.heard = now
-		n.timerLength = n.followerTimeout()
+	soleVoter := members.Voters() == 1 && members.Voter(n.id)
+	if !isNew && !soleVoter {
+		n.lastLeaderContact = now
+		n.electionTimerDuration = n.randomElectionTimeout()
 		return
 	}
-	n.heard = now - n.config.ElectionTimeout
-	if !sole {
-		n.timerLength = n.jitter(n.config.ElectionTimeout / 4)
+	n.lastLeaderContact = now - n.config.ElectionTimeout
+	if !soleVoter {
+		n.electionTimerDuration = n.jitter(n.config.ElectionTimeout / 4)
 	}
 }
 
@@ -144,58 +169,59 @@
 	return time.Duration(n.config.Rand.Int64N(int64(limit)))
 }
 
-func (n *Node) followerTimeout() time.Duration {
+func (n *Node) randomElectionTimeout() time.Duration {
 	return n.config.ElectionTimeout + n.jitter(n.config.ElectionTimeout/2)
 }
 
-// Tick lets time-driven work happen. The interval between calls only sets how
-// late that work may be.
+// Tick runs work that is due: heartbeats, lease checks, elections and bootstrap
+// queries. The interval between calls only determines how late this work can
+// run.
 func (n *Node) Tick() {
 	now := n.config.Clock()
 	if n.role == Leader {
 		n.tickLeader(now)
 		return
 	}
-	if n.waiting() {
-		n.sayHello()
+	if n.bootstrapping() {
+		n.sendBootstrapQueries()
 		return
 	}
-	if now-n.timerStart < n.timerLength {
+	if now-n.electionTimerStart < n.electionTimerDuration {
 		return
 	}
-	if !n.log.members().Voter(n.id) || n.supporting(now) {
-		n.resetTimer(now)
+	if !n.log.members().Voter(n.id) || n.withinLeaderLease(now) {
+		n.resetElectionTimer(now)
 		return
 	}
 	n.campaign(MsgPreVote, false)
 }
 
-func (n *Node) resetTimer(now time.Duration) {
-	n.timerStart = now
-	n.timerLength = n.followerTimeout()
+func (n *Node) resetElectionTimer(now time.Duration) {
+	n.electionTimerStart = now
+	n.electionTimerDuration = n.randomElectionTimeout()
 }
 
-// supporting reports whether this replica heard from a leader so lately that
-// the leader may rely on its lease.
-func (n *Node) supporting(now time.Duration) bool {
-	return n.role == Leader || now-n.heard < n.config.ElectionTimeout
+// withinLeaderLease reports whether this replica is the leader or heard from one
+// within ElectionTimeout, in which case that leader may still hold a lease.
+func (n *Node) withinLeaderLease(now time.Duration) bool {
+	return n.role == Leader || now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-// Step handles a message of another replica.
+// Step handles a message from another replica.
 func (n *Node) Step(m Message) {
 	switch m.Kind {
-	case MsgHello:
-		n.handleHello(&m)
+	case MsgBootstrapQuery:
+		n.handleBootstrapQuery(&m)
 		return
-	case MsgHelloResponse:
-		n.handleHelloResponse(&m)
+	case MsgBootstrapQueryResponse:
+		n.handleBootstrapQueryResponse(&m)
 		return
 	}
-	if m.Term > n.term && !n.stepHigher(&m) {
+	if m.Term > n.term && !n.handleHigherTerm(&m) {
 		return
 	}
 	if m.Term < n.term {
-		n.stepLower(&m)
+		n.handleLowerTerm(&m)
 		return
 	}
 	switch m.Kind {
@@ -204,10 +230,10 @@
 	case MsgPreVoteResponse, MsgVoteResponse:
 		n.handleVoteResponse(&m)
 	case MsgAppend:
-		n.follow(m.From)
+		n.acceptLeader(m.From)
 		n.handleAppend(&m)
 	case MsgSnapshot:
-		n.follow(m.From)
+		n.acceptLeader(m.From)
 		n.handleSnapshot(&m)
 	case MsgAppendResponse:
 		n.handleAppendResponse(&m)
@@ -218,15 +244,16 @@
 	}
 }
 
-// stepHigher handles the term of a message from a later term. It reports
-// whether the message is to be handled further.
-func (n *Node) stepHigher(m *Message) bool {
+// handleHigherTerm processes the term of a message from a higher term. It
+// reports whether the caller should handle the message as one of the current
+// term.
+func (n *Node) handleHigherTerm(m *Message) bool {
 	switch m.Kind {
 	case MsgPreVote:
 		n.handlePreVote(m)
 		return false
 	case MsgVote:
-		if n.supporting(n.config.Clock()) && !m.Transfer {
+		if n.withinLeaderLease(n.config.Clock()) && !m.Transfer {
 			return false
 		}
 	case MsgPreVoteResponse:
@@ -239,8 +266,9 @@
 	return true
 }
 
-// stepLower tells the sender of an outdated request the current term.
-func (n *Node) stepLower(m *Message) {
+// handleLowerTerm rejects a request of a lower term, which tells its sender the
+// current term.
+func (n *Node) handleLowerTerm(m *Message) {
 	switch m.Kind {
 	case MsgAppend, MsgSnapshot:
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true})
@@ -254,52 +282,53 @@
 		n.term, n.vote = term, ""
 	}
 	if n.role == Leader {
-		n.stopLeading()
+		n.clearLeaderState()
 	}
 	n.role = Follower
 	n.leader = leader
-	n.transferring = false
-	n.resetTimer(n.config.Clock())
+	n.transferCampaign = false
+	n.resetElectionTimer(n.config.Clock())
 }
 
-// follow accepts the sender of a request as leader of the current term.
-func (n *Node) follow(leader string) {
+// acceptLeader records the sender of a request as the leader of the current
+// term.
+func (n *Node) acceptLeader(leader string) {
 	if n.role == Leader {
-		panic(fmt.Sprintf("raft: %s and %s both lead term %d", n.id, leader, n.term))
+		panic(fmt.Sprintf("raft: both %s and %s are leaders of term %d", n.id, leader, n.term))
 	}
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.term, leader)
 	}
-	n.heard = n.config.Clock()
-	n.resetTimer(n.heard)
+	n.lastLeaderContact = n.config.Clock()
+	n.resetElectionTimer(n.lastLeaderContact)
 }
 
 func (n *Node) send(m Message) {
 	m.From = n.id
-	m.Formed = !n.formation.new
+	m.Formed = !n.bootstrap.pending
 	if m.Term == 0 {
 		m.Term = n.term
 	}
 	n.messages = append(n.messages, m)
 }
 
-// HasReady reports whether Ready has any work.
+// HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
-	return len(n.messages) > 0 || len(n.done) > 0 || n.installed != nil || n.formation.changed ||
+	return len(n.messages) > 0 || len(n.completedReads) > 0 || n.installed != nil || n.bootstrap.finishUnsaved ||
 		n.log.stable < n.log.last() || n.log.applied < n.log.commit ||
-		n.saved != HardState{n.term, n.vote}
+		n.savedState != HardState{n.term, n.vote}
 }
 
-// Ready returns the work to carry out before Advance. No other method may be
-// called in between.
+// Ready returns the pending work. The caller carries it out and then calls
+// Advance; it must not call any other method in between.
 func (n *Node) Ready() Ready {
 	r := Ready{
 		Entries:  n.log.slice(n.log.stable+1, n.log.last()),
 		Snapshot: n.installed,
-		Reads:    n.done,
-		Formed:   n.formation.changed,
+		Reads:    n.completedReads,
+		Formed:   n.bootstrap.finishUnsaved,
 	}
-	if state := (HardState{n.term, n.vote}); state != n.saved {
+	if state := (HardState{n.term, n.vote}); state != n.savedState {
 		r.HardState = &state
 	}
 	for _, m := range n.messages {
@@ -311,24 +340,24 @@
 	return r
 }
 
-// Advance tells the core that the work of the last Ready is done.
+// Advance reports that the work of the last Ready has been carried out.
 func (n *Node) Advance() {
-	own := n.messages
-	n.messages, n.done, n.installed = nil, nil, nil
-	n.formation.changed = false
-	n.saved = HardState{n.term, n.vote}
+	messages := n.messages
+	n.messages, n.completedReads, n.installed = nil, nil, nil
+	n.bootstrap.finishUnsaved = false
+	n.savedState = HardState{n.term, n.vote}
 	n.log.stable = n.log.last()
 	n.log.applied = n.log.commit
-	for _, m := range own {
-		// A vote or acknowledgement of this replica itself counts only now
-		// that it is on disk.
+	for _, m := range messages {
+		// The replica's own vote or acknowledgement counts only now that it is
+		// on disk.
 		if m.To == n.id {
 			n.Step(m)
 		}
 	}
 }
 
-// Status is a view of a replica.
+// Status is a point-in-time view of a replica.
 type Status struct {
 	ID      string
 	Role    Role
@@ -339,22 +368,24 @@
 	Last    uint64
 	First   uint64
 	Members Membership
-	// New is set while the replica may not vote because its disk was empty.
+	// Set while the replica is bootstrapping: its disk was empty at the start and
+	// it must not vote.
 	New bool
-	// Match maps replicas to their last stored entry; only a leader has it.
+	// Match maps each other replica to its last entry known to match the
+	// leader's log. Only the leader sets it.
 	Match map[string]uint64
-	// Active holds the other replicas that have answered within the lease;
-	// only a leader has it.
+	// Active reports for each other replica whether it has answered a request
+	// sent within the last lease duration. Only the leader sets it.
 	Active map[string]bool
 }
 
-// Status returns a view of the replica.
+// Status returns the current view of the replica.
 func (n *Node) Status() Status {
 	s := Status{
 		ID: n.id, Role: n.role, Term: n.term, Leader: n.leader,
 		Commit: n.log.commit, Applied: n.log.applied,
 		First: n.log.baseIndex + 1, Last: n.log.last(), Members: n.log.members(),
-		New: n.formation.new,
+		New: n.bootstrap.pending,
 	}
 	if n.role == Leader {
 		s.Match = make(map[string]uint64, len(n.peers))
@@ -367,5 +398,5 @@
 	return s
 }
 
-// Members returns the membership in force.
+// Members returns the current membership. Uncommitted changes are included.
 func (n *Node) Members() Membership { return n.log.members() }
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -11,41 +11,44 @@
 	"pgregory.net/rapid"
 )
 
-// seeds start the schedules of a normal run; RAFT_SCHEDULES asks for more.
+// seeds are the random seeds of TestSchedules. A normal run plays schedulesPerSeed
+// schedules for each; RAFT_SCHEDULES sets another total.
 var seeds = []uint64{1, 2, 3, 5, 8, 13, 21, 34}
 
 const schedulesPerSeed = 20
 
-// action is one disturbance, followed by time in which the network runs.
+// action is one fault or operation, followed by runTime of simulated time.
 type action struct {
-	kind  int
-	host  int
-	other int
-	value int
-	pause time.Duration
+	kind    int
+	host    int
+	other   int
+	value   int
+	runTime time.Duration
 }
 
-// newAction spreads a drawn number, which rapid prefers to be small, evenly
-// over the actions.
+// newAction derives an action from a drawn number. Rapid prefers small numbers, so
+// the number seeds a generator that chooses evenly among the actions.
 func newAction(position int, drawn uint64) action {
 	r := rand.New(rand.NewPCG(uint64(position), drawn))
 	a := action{kind: r.IntN(actionKinds), host: r.IntN(7), other: r.IntN(7), value: r.IntN(30)}
 	longest := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}
-	a.pause = time.Duration(r.Int64N(int64(longest[r.IntN(len(longest))])))
+	a.runTime = time.Duration(r.Int64N(int64(longest[r.IntN(len(longest))])))
 	return a
 }
 
+// Kinds below 8 are faults and the others are operations on a replica.
 const actionKinds = 19
 
+// act performs an operation on the leader if there is one, or injects a fault.
 func (w *network) act(a action) {
 	h := w.hosts[a.host%len(w.hosts)]
 	other := w.hosts[a.other%len(w.hosts)]
 	if a.kind < 8 {
-		w.disturb(a, h, other)
+		w.injectFault(a, h, other)
 		return
 	}
-	if lead := w.anyLeader(a.host); lead != nil && a.kind != actionKinds-1 {
-		h = lead
+	if leader := w.anyLeader(a.host); leader != nil && a.kind != actionKinds-1 {
+		h = leader
 	}
 	if h.node == nil || h.stalled {
 		return
@@ -57,17 +60,17 @@
 		w.read(h)
 	case 12:
 		h.node.TransferLeadership()
-		w.check()
+		w.checkInvariants()
 	case 13, 14, 15:
 		_, _, _ = h.node.ProposeChange(Change{Kind: ChangeKind(a.kind - 12), ID: other.id, Address: other.id})
-		w.check()
+		w.checkInvariants()
 	default:
 		w.compact(h, uint64(a.value))
 	}
-	w.process(h)
+	w.processReady(h)
 }
 
-func (w *network) disturb(a action, h, other *host) {
+func (w *network) injectFault(a action, h, other *simHost) {
 	switch a.kind {
 	case 0:
 		h.node = nil
@@ -85,10 +88,10 @@
 	case 3:
 		w.isolate(h, a.value)
 	case 7:
-		w.wipe(h)
+		w.wipeDisk(h)
 	case 5:
-		if lead := w.anyLeader(a.host); lead != nil {
-			w.isolate(lead, a.value)
+		if leader := w.anyLeader(a.host); leader != nil {
+			w.isolate(leader, a.value)
 		}
 	case 6:
 		for i, h := range w.hosts {
@@ -103,18 +106,19 @@
 	}
 }
 
-// isolate cuts a replica off, in both directions or only one.
-func (w *network) isolate(h *host, value int) {
+// isolate partitions a replica from all others, in one direction or both.
+func (w *network) isolate(h *simHost, value int) {
 	for _, other := range w.hosts {
 		w.blocked[link{other.id, h.id}] = value%3 != 0
 		w.blocked[link{h.id, other.id}] = value%3 != 1
 	}
 }
 
-// wipe loses a disk, as long as the other voters are a majority. A sole first
-// voter has no others to ask and always starts anew.
-func (w *network) wipe(h *host) {
-	if h.first.Snapshot.Members.Voters() == 1 {
+// wipeDisk erases the disk of a replica and restarts it, provided that the other
+// initialized voters are a majority. It spares a sole initial voter, which has no
+// other voters to query and always starts as a new one.
+func (w *network) wipeDisk(h *simHost) {
+	if h.initialDisk.Snapshot.Members.Voters() == 1 {
 		return
 	}
 	for _, other := range w.hosts {
@@ -122,34 +126,37 @@
 			return
 		}
 	}
-	h.disk, h.data = h.first, nil
+	h.disk, h.snapshotData = h.initialDisk, nil
 	w.start(h)
-	// A voter removed before the leader has noticed the loss may leave no
-	// majority; the membership then tolerates one failure less.
-	w.run(2 * simElection)
+	// Until the leader has noticed the loss, the membership tolerates one failure
+	// less, and removing another voter could leave no majority.
+	w.run(2 * simElectionTimeout)
 }
 
-func (w *network) quorumWithout(members Membership, gone *host) bool {
+// quorumWithout reports whether the initialized voters other than excluded are a
+// majority.
+func (w *network) quorumWithout(members Membership, excluded *simHost) bool {
 	count := 0
 	for _, h := range w.hosts {
-		if h != gone && !h.disk.New && members.Voter(h.id) {
+		if h != excluded && !h.disk.New && members.Voter(h.id) {
 			count++
 		}
 	}
 	return len(members) == 0 || count >= members.Quorum()
 }
 
-func (w *network) resume(h *host) {
+func (w *network) resume(h *simHost) {
 	if h.node != nil && h.stalled {
 		h.stalled = false
-		// The replica acts before its clock is looked at.
+		// The replica serves a read and its queued messages before Tick checks
+		// the clock.
 		w.read(h)
-		w.handle(h)
+		w.processInbox(h)
 	}
 }
 
-// anyLeader returns a replica that takes itself for the leader.
-func (w *network) anyLeader(from int) *host {
+// anyLeader returns a replica in the leader role. An outdated leader counts too.
+func (w *network) anyLeader(from int) *simHost {
 	for i := range w.hosts {
 		h := w.hosts[(from+i)%len(w.hosts)]
 		if h.node != nil && !h.stalled && h.node.role == Leader {
@@ -159,9 +166,9 @@
 	return nil
 }
 
-// settle ends all disturbances and expects the log to work again.
-func (w *network) settle() {
-	w.loss, w.copies, w.crashing, w.delay = 0, 0, 0, simStep
+// checkRecovery ends all faults and checks that the log makes progress again.
+func (w *network) checkRecovery() {
+	w.lossPercent, w.duplicatePercent, w.crashesPer10000, w.maxDelay = 0, 0, 0, simStep
 	clear(w.blocked)
 	for _, h := range w.hosts {
 		w.resume(h)
@@ -170,36 +177,36 @@
 		}
 	}
 	w.run(15 * time.Second)
-	lead := w.anyLeader(0)
-	if lead == nil {
-		w.fail("no leader 15 s after the last disturbance")
+	leader := w.anyLeader(0)
+	if leader == nil {
+		w.fail("no leader 15 s after the last fault")
 		return
 	}
-	w.propose(lead, 1)
+	w.propose(leader, 1)
 	w.run(2 * time.Second)
-	for _, m := range lead.node.Members() {
-		if h := w.host(m.ID); h.applied != lead.node.log.last() {
-			w.fail("%s has applied %d of %d entries after all disturbances", h.id, h.applied, lead.node.log.last())
+	for _, m := range leader.node.Members() {
+		if h := w.host(m.ID); h.applied != leader.node.log.last() {
+			w.fail("%s has applied %d of %d entries after the last fault", h.id, h.applied, leader.node.log.last())
 		}
 	}
 }
 
-// checkSchedule guards against every way in which crashes, partitions, lost,
-// repeated and reordered messages, stalls and clock drift could break the log:
-// two leaders of a term, a committed entry that is lost or changed, unequal
-// states, overlapping leases, stale reads, or a log that does not recover.
+// checkSchedule runs one random schedule of crashes, partitions, lost, duplicated
+// and reordered messages, stalls and clock drift. It guards against two leaders
+// of a term, a committed entry that is lost or changed, diverging state machines,
+// overlapping leases, stale reads, and a log that does not recover.
 func checkSchedule(t *rapid.T) {
 	rates := rapid.SliceOfN(rapid.SampledFrom([]float64{0.99, 1, 1.01}), 7, 7).Draw(t, "rates")
 	voters := rapid.SampledFrom([]int{1, 2, 3, 3, 3, 5}).Draw(t, "voters")
 	w := newNetwork(rapid.Uint64().Draw(t, "seed"), voters, 2, rates)
-	w.loss = rapid.SampledFrom([]int{0, 0, 5, 30}).Draw(t, "loss")
-	w.copies = rapid.SampledFrom([]int{0, 10}).Draw(t, "copies")
-	w.crashing = rapid.SampledFrom([]int{0, 10, 100}).Draw(t, "crashing")
-	w.delay = rapid.SampledFrom([]time.Duration{1, simStep, 60 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond}).Draw(t, "delay")
-	w.tick = rapid.SampledFrom([]time.Duration{simStep, 100 * time.Millisecond}).Draw(t, "tick")
-	w.eager = rapid.Bool().Draw(t, "eager")
-	w.appendBytes = rapid.SampledFrom([]int{1, 64}).Draw(t, "append bytes")
-	w.inflight = rapid.SampledFrom([]uint64{2, 16}).Draw(t, "inflight")
+	w.lossPercent = rapid.SampledFrom([]int{0, 0, 5, 30}).Draw(t, "loss")
+	w.duplicatePercent = rapid.SampledFrom([]int{0, 10}).Draw(t, "duplicates")
+	w.crashesPer10000 = rapid.SampledFrom([]int{0, 10, 100}).Draw(t, "crashes")
+	w.maxDelay = rapid.SampledFrom([]time.Duration{1, simStep, 60 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond}).Draw(t, "delay")
+	w.tickInterval = rapid.SampledFrom([]time.Duration{simStep, 100 * time.Millisecond}).Draw(t, "tick")
+	w.earlyElections = rapid.Bool().Draw(t, "early elections")
+	w.maxAppendBytes = rapid.SampledFrom([]int{1, 64}).Draw(t, "append bytes")
+	w.maxInflight = rapid.SampledFrom([]uint64{2, 16}).Draw(t, "inflight")
 	for _, h := range w.hosts {
 		w.start(h)
 	}
@@ -207,16 +214,16 @@
 	for i, drawn := range rapid.SliceOfN(rapid.Uint64(), 15, 50).Draw(t, "actions") {
 		a := newAction(i, drawn)
 		w.act(a)
-		w.run(a.pause)
-		if w.problem != "" {
+		w.run(a.runTime)
+		if w.failure != "" {
 			break
 		}
 	}
-	if w.problem == "" {
-		w.settle()
+	if w.failure == "" {
+		w.checkRecovery()
 	}
-	if w.problem != "" {
-		t.Fatal(w.problem)
+	if w.failure != "" {
+		t.Fatal(w.failure)
 	}
 }
 
@@ -250,57 +257,57 @@
 	t.Cleanup(func() { _ = flag.Set(name, old) })
 }
 
-// Guards against the loss of a committed entry when one voter of three loses
-// its disk, another is down, and the third lacks the entry; and against a
-// voter that cannot be repaired afterwards.
+// Guards against the loss of a committed entry when one of three voters loses its
+// disk, another is down, and the third lacks the entry. Also guards against a
+// failure to replace the voter afterwards.
 func TestLostDisk(t *testing.T) {
 	w := newNetwork(1, 3, 0, []float64{1})
 	for _, h := range w.hosts {
 		w.start(h)
 	}
 	w.run(3 * time.Second)
-	lead := w.anyLeader(0)
-	var others []*host
+	leader := w.anyLeader(0)
+	var others []*simHost
 	for _, h := range w.hosts {
-		if h != lead {
+		if h != leader {
 			others = append(others, h)
 		}
 	}
 	lost, behind := others[0], others[1]
 	w.isolate(behind, 2)
-	w.propose(lead, 3)
-	w.run(simElection / 2)
-	lead.node = nil
-	lost.disk, lost.data = lost.first, nil
+	w.propose(leader, 3)
+	w.run(simElectionTimeout / 2)
+	leader.node = nil
+	lost.disk, lost.snapshotData = lost.initialDisk, nil
 	w.start(lost)
 	clear(w.blocked)
 	w.run(10 * time.Second)
 	if w.anyLeader(0) != nil {
-		t.Fatal("a voter that has lost its disk helped to elect a leader")
+		t.Fatal("a leader was elected with the vote of a voter that had lost its disk")
 	}
-	w.start(lead)
+	w.start(leader)
 	w.run(5 * time.Second)
-	lead = w.anyLeader(0)
-	if lead == nil {
-		t.Fatal("no leader although two voters have their disks")
+	leader = w.anyLeader(0)
+	if leader == nil {
+		t.Fatal("no leader although two voters still have their disks")
 	}
 	for _, kind := range []ChangeKind{Remove, AddLearner, Promote} {
-		if _, _, err := lead.node.ProposeChange(Change{Kind: kind, ID: lost.id, Address: lost.id}); err != nil {
+		if _, _, err := leader.node.ProposeChange(Change{Kind: kind, ID: lost.id, Address: lost.id}); err != nil {
 			t.Fatal(err)
 		}
-		w.process(lead)
+		w.processReady(leader)
 		w.run(2 * time.Second)
 	}
-	if lost.node.formation.new || !lead.node.Members().Voter(lost.id) {
-		t.Fatal("the voter was not repaired")
+	if lost.node.bootstrap.pending || !leader.node.Members().Voter(lost.id) {
+		t.Fatal("the voter that had lost its disk did not become a voter again")
 	}
-	if w.problem != "" {
-		t.Fatal(w.problem)
+	if w.failure != "" {
+		t.Fatal(w.failure)
 	}
 }
 
-// Guards against the loss of acknowledged entries when a snapshot that an
-// append has overtaken arrives.
+// Guards against the loss of acknowledged entries when a snapshot arrives after
+// an append that was sent later.
 func TestOvertakenSnapshot(t *testing.T) {
 	w := newNetwork(1, 3, 0, []float64{1})
 	h := w.hosts[0]
@@ -314,6 +321,6 @@
 	meta := SnapshotMeta{Index: 3, Term: 1, Members: h.node.Members(), Size: 1}
 	h.node.Step(Message{Kind: MsgSnapshot, From: "n1", To: "n0", Term: 1, Snapshot: meta, Data: []byte{1}})
 	if last, commit := h.node.log.last(), h.node.log.commit; last != 5 || commit != 3 {
-		t.Fatalf("the log ends at %d with commit %d, want 5 and 3", last, commit)
+		t.Fatalf("log ends at entry %d with commit index %d, want 5 and 3", last, commit)
 	}
 }
--- a/internal/raft/repair.go
+++ b/internal/raft/repair.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// smallVoters and largeVoters are the sizes of the voter set: five where
-	// there are enough replicas to lose two of them.
-	smallVoters = 3
-	largeVoters = 5
-	// lostAfter is how long a voter must be silent before a learner replaces
-	// it. It outlasts a restart.
-	lostAfter = 3 * time.Second
+	// smallVoterCount and largeVoterCount are the desired numbers of voters. Five
+	// voters tolerate two failures, and are used where there are at least five
+	// replicas.
+	smallVoterCount = 3
+	largeVoterCount = 5
+	// lostReplicaTimeout is how long a voter must be unresponsive before a learner
+	// replaces it. It is longer than a restart takes.
+	lostReplicaTimeout = 3 * time.Second
 )
 
-// String returns the name of the change.
+// String returns the name of the kind of change.
 func (k ChangeKind) String() string {
 	return [...]string{"none", "add learner", "promote", "remove"}[k]
 }
 
-// AdmitChange returns the change that brings a replica closer to membership.
-// A different replica at its address has lost its disk: it can never answer
-// again, and is removed first.
+// AdmitChange returns the next membership change needed to add a replica, or
+// false if it is already a member. Another member at the same address has lost
+// its disk and can never respond again, so it is removed first.
 func AdmitChange(members Membership, id, address string) (Change, bool) {
 	if _, ok := members.Find(id); ok {
 		return Change{}, false
@@ -32,58 +33,62 @@
 	return Change{Kind: AddLearner, ID: id, Address: address}, true
 }
 
-// Repair decides which membership changes a leader makes to keep the voter set
-// whole. It is not safe for concurrent use.
+// Repair decides which membership changes a leader makes to replace lost voters
+// and to reach the desired number of voters. It is not safe for concurrent use.
 type Repair struct {
-	// silent is since when a replica has not answered.
-	silent map[string]time.Duration
-	term   uint64
+	// unresponsiveSince maps each replica that does not respond to the time at
+	// which this was first observed.
+	unresponsiveSince map[string]time.Duration
+	term              uint64
 }
 
-// NewRepair returns a Repair that knows of no silent replica.
-func NewRepair() *Repair { return &Repair{silent: make(map[string]time.Duration)} }
+// NewRepair returns a Repair that has observed no unresponsive replica.
+func NewRepair() *Repair { return &Repair{unresponsiveSince: make(map[string]time.Duration)} }
 
-// Next returns the change due at now, if any.
+// Next returns the membership change to make now, if any, given the status of
+// this replica.
 func (r *Repair) Next(now time.Duration, s *Status) (Change, bool) {
 	if s.Role != Leader || s.Term != r.term {
-		clear(r.silent)
+		clear(r.unresponsiveSince)
 		r.term = s.Term
 		return Change{}, false
 	}
-	r.observe(now, s)
-	learner, found := r.readyLearner(s)
-	lost, dead := r.lostVoter(now, s)
+	r.trackResponses(now, s)
+	learner, learnerReady := r.caughtUpLearner(s)
+	lost, voterLost := r.lostVoter(now, s)
 	voters := s.Members.Voters()
 	switch {
-	case found && dead && voters >= wantedVoters(s.Members):
+	case learnerReady && voterLost && voters >= desiredVoters(s.Members):
 		return Change{Kind: Remove, ID: lost}, true
-	case found && voters < wantedVoters(s.Members):
+	case learnerReady && voters < desiredVoters(s.Members):
 		return Change{Kind: Promote, ID: learner}, true
 	}
-	return r.lostLearner(now, s)
+	return r.removeLostLearner(now, s)
 }
 
-// wantedVoters is odd, because one more voter than that adds no tolerance.
-func wantedVoters(m Membership) int {
-	if len(m) >= largeVoters {
-		return largeVoters
+// desiredVoters returns the desired number of voters. It is odd, because one more
+// voter would not tolerate more failures.
+func desiredVoters(m Membership) int {
+	if len(m) >= largeVoterCount {
+		return largeVoterCount
 	}
-	return smallVoters
+	return smallVoterCount
 }
 
-func (r *Repair) observe(now time.Duration, s *Status) {
+func (r *Repair) trackResponses(now time.Duration, s *Status) {
 	for _, m := range s.Members {
 		if m.ID == s.ID || s.Active[m.ID] {
-			delete(r.silent, m.ID)
+			delete(r.unresponsiveSince, m.ID)
 			continue
 		}
-		if _, ok := r.silent[m.ID]; !ok {
-			r.silent[m.ID] = now
+		if _, ok := r.unresponsiveSince[m.ID]; !ok {
+			r.unresponsiveSince[m.ID] = now
 		}
 	}
 }
 
-func (r *Repair) readyLearner(s *Status) (string, bool) {
+// caughtUpLearner returns a responding learner that stores every committed entry.
+func (r *Repair) caughtUpLearner(s *Status) (string, bool) {
 	for _, m := range s.Members {
 		if !m.Voter && s.Active[m.ID] && s.Match[m.ID] >= s.Commit {
 			return m.ID, true
@@ -94,20 +99,21 @@
 
 func (r *Repair) lostVoter(now time.Duration, s *Status) (string, bool) {
 	for _, m := range s.Members {
-		since, ok := r.silent[m.ID]
-		if m.Voter && ok && now-since >= lostAfter {
+		since, ok := r.unresponsiveSince[m.ID]
+		if m.Voter && ok && now-since >= lostReplicaTimeout {
 			return m.ID, true
 		}
 	}
 	return "", false
 }
 
-// lostLearner drops a learner that is gone, which would otherwise count as a
-// replica forever. It joins again if it returns.
-func (r *Repair) lostLearner(now time.Duration, s *Status) (Change, bool) {
+// removeLostLearner returns the removal of a learner that has been unresponsive
+// for twice lostReplicaTimeout. It would otherwise count as a replica forever. A
+// removed learner joins again if it returns.
+func (r *Repair) removeLostLearner(now time.Duration, s *Status) (Change, bool) {
 	for _, m := range s.Members {
-		since, ok := r.silent[m.ID]
-		if !m.Voter && ok && now-since >= 2*lostAfter {
+		since, ok := r.unresponsiveSince[m.ID]
+		if !m.Voter && ok && now-since >= 2*lostReplicaTimeout {
 			return Change{Kind: Remove, ID: m.ID}, true
 		}
 	}
--- a/internal/raft/repair_test.go
+++ b/internal/raft/repair_test.go
@@ -26,8 +26,9 @@
 	return m
 }
 
-// settle runs a Repair until it proposes something or the time is up.
-func settle(r *Repair, s *Status, limit time.Duration) (Change, time.Duration) {
+// runUntilChange calls Next with advancing time until it returns a change or limit
+// is reached, and returns the time of the change.
+func runUntilChange(r *Repair, s *Status, limit time.Duration) (Change, time.Duration) {
 	for now := time.Duration(0); now <= limit; now += 100 * time.Millisecond {
 		if change, ok := r.Next(now, s); ok {
 			return change, now
@@ -36,44 +37,45 @@
 	return Change{}, limit
 }
 
-// Guards against a quorum that shrinks while nothing replaces the lost voter.
+// Guards against the removal of a lost voter while no learner can replace it.
 func TestLostVoterStaysWithoutALearner(t *testing.T) {
-	change, _ := settle(NewRepair(), leaderStatus(members(3), "b"), time.Minute)
+	change, _ := runUntilChange(NewRepair(), leaderStatus(members(3), "b"), time.Minute)
 	if change.Kind != 0 {
 		t.Errorf("proposed %v of %s", change.Kind, change.ID)
 	}
 }
 
-// Guards against a core that keeps a voter that is gone for good.
+// Guards against keeping a permanently lost voter although a learner can replace
+// it.
 func TestLearnerReplacesALostVoter(t *testing.T) {
 	r := NewRepair()
 	s := leaderStatus(members(3, "d"), "b", "d")
-	change, at := settle(r, s, time.Minute)
-	if change != (Change{Kind: Remove, ID: "c"}) || at < lostAfter {
-		t.Fatalf("proposed %v of %s after %v, want the removal of c after %v", change.Kind, change.ID, at, lostAfter)
+	change, at := runUntilChange(r, s, time.Minute)
+	if change != (Change{Kind: Remove, ID: "c"}) || at < lostReplicaTimeout {
+		t.Fatalf("proposed %v of %s after %v, want the removal of c after %v", change.Kind, change.ID, at, lostReplicaTimeout)
 	}
 	s.Members = Membership{s.Members[0], s.Members[1], s.Members[3]}
-	if change, _ := settle(r, s, time.Second); change != (Change{Kind: Promote, ID: "d"}) {
+	if change, _ := runUntilChange(r, s, time.Second); change != (Change{Kind: Promote, ID: "d"}) {
 		t.Errorf("proposed %v of %s, want the promotion of d", change.Kind, change.ID)
 	}
 }
 
-// Guards against a voter that is replaced during a restart.
+// Guards against replacing a voter that is only restarting.
 func TestVoterThatRestartsIsKept(t *testing.T) {
 	r := NewRepair()
 	s := leaderStatus(members(3, "d"), "b", "d")
-	for now := time.Duration(0); now < lostAfter; now += 100 * time.Millisecond {
+	for now := time.Duration(0); now < lostReplicaTimeout; now += 100 * time.Millisecond {
 		if change, ok := r.Next(now, s); ok {
 			t.Fatalf("proposed %v of %s after %v", change.Kind, change.ID, now)
 		}
 	}
 	s.Active["c"] = true
-	if change, ok := r.Next(2*lostAfter, s); ok {
-		t.Errorf("proposed %v of %s although c is back", change.Kind, change.ID)
+	if change, ok := r.Next(2*lostReplicaTimeout, s); ok {
+		t.Errorf("proposed %v of %s although c responds again", change.Kind, change.ID)
 	}
 }
 
-// Guards against a core of six that tolerates the loss of one only.
+// Guards against a core of six replicas that tolerates only one failure.
 func TestLargeCoreGetsFiveVoters(t *testing.T) {
 	r := NewRepair()
 	s := leaderStatus(members(3, "d", "e", "f"), "b", "c", "d", "e", "f")
@@ -95,8 +97,8 @@
 	}
 }
 
-// Guards against a replica that has lost its disk and votes under the name that
-// its lost votes were given under.
+// Guards against a replica that has lost its disk and votes again under its old
+// ID, although the votes that it gave under this ID are lost.
 func TestReplicaWithANewDiskReplacesTheOneAtItsAddress(t *testing.T) {
 	change, ok := AdmitChange(members(3), "c/new", "c:1")
 	if !ok || change != (Change{Kind: Remove, ID: "c"}) {
@@ -107,6 +109,6 @@
 		t.Errorf("proposed %v, want a learner", change.Kind)
 	}
 	if _, ok := AdmitChange(members(3), "b", "b:1"); ok {
-		t.Error("a member is admitted again")
+		t.Error("AdmitChange returned a change for a replica that is already a member")
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -1,21 +1,23 @@
 package raft
 
-// assembly collects the chunks of one snapshot.
-type assembly struct {
+// incomingSnapshot assembles the chunks of a snapshot sent by the leader.
+type incomingSnapshot struct {
 	meta SnapshotMeta
 	from string
 	data []byte
 }
 
-// MembersAt returns the membership in force at an applied index; a snapshot
-// taken there must hold it.
-func (n *Node) MembersAt(index uint64) Membership { return n.log.membersAt(index) }
+// MembersAt returns the membership in effect at an applied index. A snapshot
+// taken at that index must include it.
+func (n *Node) MembersAt(index uint64) Membership { return n.log.membershipAt(index) }
 
-// TermAt returns the term of an entry that is still held.
+// TermAt returns the term of the entry at index, or false if that entry is
+// compacted or does not exist.
 func (n *Node) TermAt(index uint64) (uint64, bool) { return n.log.term(index) }
 
-// Compact records a snapshot that is on disk, and drops the entries before it
-// except the last retain ones, which slow followers may still need.
+// Compact records a snapshot that is on disk. It discards the entries that the
+// snapshot covers, except for the last retain ones, which slow followers may
+// still need.
 func (n *Node) Compact(s SnapshotMeta, retain uint64) {
 	if s.Index <= n.snapshot.Index {
 		return
@@ -26,60 +28,61 @@
 	}
 }
 
-// SendingSnapshot reports whether an answering replica is receiving the
-// current snapshot, which must stay readable until then.
+// SendingSnapshot reports whether a snapshot is being sent to an active replica.
+// The snapshot must stay readable until the transfer has finished.
 func (n *Node) SendingSnapshot() bool {
 	for _, p := range n.peers {
-		if p.sending != 0 && n.active(p) {
+		if p.snapshotIndex != 0 && n.active(p) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendSnapshot sends the current chunk to a replica that answers, and a plain
-// heartbeat to one that does not, to spare the link between regions.
-func (n *Node) sendSnapshot(id string, p *peer, beat bool) {
+// sendSnapshot sends the current snapshot chunk to an active replica. An inactive
+// one gets only heartbeats, to save bandwidth between regions.
+func (n *Node) sendSnapshot(id string, p *peer, heartbeat bool) {
 	if !n.active(p) {
-		if beat {
+		if heartbeat {
 			n.sendAppend(id, n.log.last(), nil)
 		}
 		return
 	}
 	now := n.config.Clock()
 	switch {
-	case p.sending != n.snapshot.Index:
-		p.sending, p.offset = n.snapshot.Index, 0
-	case now-p.chunkSent < n.config.HeartbeatInterval:
+	case p.snapshotIndex != n.snapshot.Index:
+		p.snapshotIndex, p.snapshotOffset = n.snapshot.Index, 0
+	case now-p.lastChunkSent < n.config.HeartbeatInterval:
 		return
 	}
 	n.sendChunk(id, p)
 }
 
 func (n *Node) sendChunk(id string, p *peer) {
-	p.chunkSent = n.config.Clock()
+	p.lastChunkSent = n.config.Clock()
 	n.send(Message{
-		Kind: MsgSnapshot, To: id, Snapshot: n.snapshot, Offset: p.offset,
-		Sent: n.config.Clock(), Round: n.round,
+		Kind: MsgSnapshot, To: id, Snapshot: n.snapshot, Offset: p.snapshotOffset,
+		Sent: n.config.Clock(), Round: n.readRound,
 	})
 }
 
-// handleSnapshot stores one chunk and asks for the next.
+// handleSnapshot stores one chunk and requests the next, or installs the complete
+// snapshot.
 func (n *Node) handleSnapshot(m *Message) {
 	if m.Snapshot.Index <= n.log.commit {
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, Sent: m.Sent, Round: m.Round})
 		return
 	}
 	if n.log.matches(m.Snapshot.Index, m.Snapshot.Term) {
-		// Entries after the snapshot may have been acknowledged already, for
-		// example by an append that overtook it, and must stay.
+		// This replica may already have acknowledged entries after the snapshot,
+		// for example of an append that overtook it. They must be kept.
 		n.log.commit = m.Snapshot.Index
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, Sent: m.Sent, Round: m.Round})
 		return
 	}
 	a := n.incoming
 	if a == nil || a.from != m.From || a.meta.Index != m.Snapshot.Index || a.meta.Term != m.Snapshot.Term {
-		a = &assembly{meta: m.Snapshot, from: m.From}
+		a = &incomingSnapshot{meta: m.Snapshot, from: m.From}
 		n.incoming = a
 	}
 	if m.Offset == uint64(len(a.data)) {
@@ -96,8 +99,8 @@
 	n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: a.meta.Index, Sent: m.Sent, Round: m.Round})
 }
 
-// install replaces the log by a complete snapshot.
-func (n *Node) install(a *assembly) {
+// install replaces the log with a complete snapshot.
+func (n *Node) install(a *incomingSnapshot) {
 	n.incoming = nil
 	n.installed = &Snapshot{SnapshotMeta: a.meta, Data: a.data}
 	n.snapshot = a.meta
@@ -109,11 +112,11 @@
 	if n.role != Leader || p == nil {
 		return
 	}
-	n.noteAnswer(p, m)
-	// Only an answer to the latest chunk counts: a repeated one must not start
-	// a second stream of chunks.
-	if p.sending == m.Index && p.chunkSent == m.Sent && p.offset != m.Offset {
-		p.offset = m.Offset
+	n.recordResponse(p, m)
+	// Only a response to the latest chunk triggers the next one: a duplicate
+	// response must not start a second stream of chunks.
+	if p.snapshotIndex == m.Index && p.lastChunkSent == m.Sent && p.snapshotOffset != m.Offset {
+		p.snapshotOffset = m.Offset
 		n.sendChunk(m.From, p)
 	}
 	n.confirmReads()
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -1,6 +1,7 @@
-// Package raft is the consensus core of the control log. It does no I/O: the
-// caller feeds it messages, ticks and proposals, and carries out what Ready
-// returns. The clock and the random source are passed in.
+// Package raft implements the Raft consensus algorithm for the control log. It
+// performs no I/O: the caller passes in messages, ticks and proposals, and
+// carries out the work that Ready returns. The caller also supplies the clock
+// and the random source.
 package raft
 
 import (
@@ -9,21 +10,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// EntryKind tells what an entry holds.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
-// The kinds of entries. The numbers stand in files on disk and must not
+// The kinds of entries. The numbers are stored in files on disk and must not
 // change.
 const (
-	// EntryEmpty starts the term of a leader.
-	EntryEmpty EntryKind = 0
+	// EntryNoOp is the empty entry that a new leader appends first in its term.
+	EntryNoOp EntryKind = 0
 	// EntryCommand holds a command for the state machine.
 	EntryCommand EntryKind = 1
 	// EntryMembers holds an encoded Membership.
 	EntryMembers EntryKind = 2
 )
 
-// Entry is one position of the log.
+// Entry is one log entry.
 type Entry struct {
 	Index uint64
 	Term  uint64
@@ -31,7 +32,8 @@
 	Data  []byte
 }
 
-// HardState must be on disk before a message that depends on it is sent.
+// HardState is the term and the vote of a replica. It must be on disk before a
+// message that depends on it is sent.
 type HardState struct {
 	Term uint64
 	Vote string
@@ -42,20 +44,21 @@
 	Index   uint64
 	Term    uint64
 	Members Membership
-	// Size is the number of bytes of the encoded state.
+	// Size is the size of the encoded state in bytes.
 	Size uint64
 }
 
-// Snapshot is an encoded state with its description.
+// Snapshot is an encoded state of the state machine with its metadata.
 type Snapshot struct {
 	SnapshotMeta
 	Data []byte
 }
 
-// MessageKind selects the handler of a message.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
-// The kinds of messages. The numbers are part of the protocol between VMs.
+// The kinds of messages. The numbers are part of the protocol between VMs and
+// must not change.
 const (
 	MsgPreVote         MessageKind = 1
 	MsgPreVoteResponse MessageKind = 2
@@ -64,48 +67,56 @@
 	// MsgAppend carries entries, or none as a heartbeat.
 	MsgAppend         MessageKind = 5
 	MsgAppendResponse MessageKind = 6
-	// MsgSnapshot carries one chunk of a snapshot. The core leaves Data empty
-	// and the caller fills it before sending.
+	// MsgSnapshot carries one chunk of a snapshot. Node leaves Data empty; the
+	// caller fills it in before sending.
 	MsgSnapshot         MessageKind = 7
 	MsgSnapshotResponse MessageKind = 8
-	// MsgTimeoutNow asks a caught-up voter to campaign at once.
+	// MsgTimeoutNow asks a caught-up voter to start an election immediately.
 	MsgTimeoutNow MessageKind = 9
-	// MsgHello asks what another replica of the first voter set has stored.
-	MsgHello         MessageKind = 10
-	MsgHelloResponse MessageKind = 11
+	// MsgBootstrapQuery asks another replica of the initial voter set whether it
+	// has stored anything and whether it has finished bootstrapping.
+	MsgBootstrapQuery         MessageKind = 10
+	MsgBootstrapQueryResponse MessageKind = 11
 )
 
-// Message travels between replicas. Which fields are used depends on Kind.
+// Message is sent from one replica to another. Which fields are used depends
+// on Kind.
 type Message struct {
 	Kind MessageKind
 	From string
 	To   string
 	Term uint64
-	// Index and LogTerm are the entry before Entries, the last entry of a
-	// candidate, or the last entry that a follower has stored.
+	// Index and LogTerm identify a log entry: in an append the one before
+	// Entries, in a vote request the last one of the candidate. In a response,
+	// Index is the last entry that the follower has stored, the Index of a
+	// rejected append, or the index of the snapshot being received.
 	Index   uint64
 	LogTerm uint64
 	Commit  uint64
 	Entries []Entry
-	// Reject refuses a vote or an append; Hint is then where the log of the
-	// follower may still match.
+	// Reject is set in a response that denies a vote or an append. A rejected
+	// append also carries, in Hint, the last index at which the follower's log
+	// can still match the leader's.
 	Reject bool
 	Hint   uint64
-	// Sent is the leader's clock when it sent the request and Round its
-	// latest read round. Responses return both.
+	// Sent is the leader's clock reading when it sent the request and Round its
+	// latest read round. Responses echo both. In a bootstrap query, Round is a
+	// nonce.
 	Sent  time.Duration
 	Round uint64
-	// Transfer marks a vote request that the leader asked for, which
-	// followers grant although they hear from that leader.
+	// Transfer marks a vote request of a leadership transfer. Followers may
+	// grant it even while they are in contact with the old leader.
 	Transfer bool
 	Snapshot SnapshotMeta
 	Offset   uint64
 	Data     []byte
-	// Formed tells that the sender may vote.
+	// Set if the sender has finished bootstrapping and is allowed to vote.
 	Formed bool
 }
 
-// Promise reports whether the state must be synced before m is sent.
+// Promise reports whether m is a promise, such as a vote or an
+// acknowledgement, that may be sent only after the state it depends on has been
+// synced to disk.
 func (m *Message) Promise() bool {
 	switch m.Kind {
 	case MsgAppend, MsgSnapshot, MsgTimeoutNow:
@@ -115,42 +126,43 @@
 	}
 }
 
-// ReadState answers ReadIndex. The state contains every command committed
-// before the call once the entry at Index is applied.
+// ReadState is the result of a ReadIndex call. Once the entry at Index has been
+// applied, the state machine contains every command committed before the call.
 type ReadState struct {
 	ID    uint64
 	Index uint64
-	// Failed means that this replica stopped leading first.
+	// Failed is set if this replica lost the leadership before the read was
+	// confirmed.
 	Failed bool
 }
 
-// Ready is the work that the caller must carry out, in this order: write
-// Snapshot, HardState and Entries and sync them, send the messages (those
-// without a promise may go before the sync), restore Snapshot, apply
-// Committed, and call Advance.
+// Ready is the work that the caller must carry out, in this order: write and
+// sync Snapshot, HardState and Entries, send Messages, restore Snapshot, apply
+// Committed, and call Advance. Messages that are not promises may be sent before
+// the sync.
 type Ready struct {
 	// HardState is nil if it has not changed.
 	HardState *HardState
 	Entries   []Entry
-	// Snapshot is nil unless one was received whole.
+	// Snapshot is a completely received snapshot, or nil.
 	Snapshot  *Snapshot
 	Messages  []Message
 	Committed []Entry
 	Reads     []ReadState
-	// Formed tells that this replica is no new one any more, which must be
-	// written after Entries and before the messages with a promise are sent.
+	// Set if this replica has finished bootstrapping. This must be recorded on
+	// disk after Entries are written and before promises are sent.
 	Formed bool
 }
 
-// MustSync reports whether r has anything to write.
+// MustSync reports whether r contains anything to write to disk.
 func (r *Ready) MustSync() bool {
 	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil || r.Formed
 }
 
-// Role is what a replica does in its term.
+// Role is the role of a replica in its current term.
 type Role uint8
 
-// The roles of a replica.
+// The roles that a replica can have.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -163,11 +175,11 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Errors of proposals. With each of them nothing was appended.
+// Errors returned for proposals. None of the proposed entries was appended.
 var (
-	ErrNotLeader     = errors.New("raft: this replica does not lead")
-	ErrBusy          = errors.New("raft: too many entries wait for commitment")
+	ErrNotLeader     = errors.New("raft: this replica is not the leader")
+	ErrBusy          = errors.New("raft: too many uncommitted entries")
 	ErrChangePending = errors.New("raft: another membership change is in progress")
-	ErrNotCaughtUp   = errors.New("raft: a majority of the new voters is not caught up")
-	ErrBadChange     = errors.New("raft: membership change is not possible")
+	ErrNotCaughtUp   = errors.New("raft: too few voters of the new membership are caught up")
+	ErrBadChange     = errors.New("raft: invalid membership change")
 )
