--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -8,9 +8,9 @@
 // budgetSlots divides the window of a budget.
 const budgetSlots = 10
 
-// budgetPart is the part of the promised budget that is used: the windows of
+// budgetFraction is the part of the promised budget that is used: the windows of
 // the promise slide, and those here move in steps.
-const budgetPart = 0.7
+const budgetFraction = 0.7
 
 // Budget bounds the extra sends to each service by the share of one front.
 type Budget struct {
@@ -47,16 +47,16 @@
 	return w, tick
 }
 
-// First counts a request.
-func (b *Budget) First(service string, now time.Time) {
+// RecordRequest counts a request.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, tick := b.slot(service, now)
 	w.slots[tick%budgetSlots].first++
 }
 
-// Extra takes one extra send and reports false if the budget is spent.
-func (b *Budget) Extra(service string, now time.Time, fronts int) bool {
+// TakeRetry takes one extra send and reports false if the budget is spent.
+func (b *Budget) TakeRetry(service string, now time.Time, fronts int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, tick := b.slot(service, now)
@@ -67,7 +67,7 @@
 			extras += s.extras
 		}
 	}
-	allowed := budgetPart * (b.Ratio*first + b.Slack/float64(max(fronts, 1)))
+	allowed := budgetFraction * (b.Ratio*first + b.Slack/float64(max(fronts, 1)))
 	if extras+1 > allowed {
 		return false
 	}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 // event is one event of a stream with its blank line.
 type event struct {
@@ -18,8 +18,8 @@
 
 // eventReader splits a stream into events.
 type eventReader struct {
-	from *bufio.Reader
-	buf  []byte
+	src *bufio.Reader
+	buf []byte
 }
 
 // next returns the next whole event. At the end of the stream it returns the
@@ -27,9 +27,9 @@
 func (r *eventReader) next() (event, error) {
 	r.buf = r.buf[:0]
 	for {
-		line, err := r.from.ReadSlice('\n')
+		line, err := r.src.ReadSlice('\n')
 		r.buf = append(r.buf, line...)
-		if err == bufio.ErrBufferFull && len(r.buf) < maxEvent {
+		if err == bufio.ErrBufferFull && len(r.buf) < maxEventBytes {
 			continue
 		}
 		if err != nil {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -97,17 +97,17 @@
 	return s.seen
 }
 
-func reply(status, headers, body string) script {
+func respond(status, headers, body string) script {
 	return func(conn net.Conn, r *http.Request) bool {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nId: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, r.Header.Get("Id"), headers, len(body), body)
 		return err == nil
 	}
 }
 
-func answered(body string) script { return reply("200 OK", "Signed: yes\r\n", body) }
+func respondOK(body string) script { return respond("200 OK", "Signed: yes\r\n", body) }
 
-// events sends a stream; unless whole, the connection breaks after them.
-func events(whole bool, list ...string) script {
+// streamResponse sends a stream; unless whole, the connection breaks after them.
+func streamResponse(whole bool, list ...string) script {
 	return func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for _, e := range list {
@@ -120,14 +120,14 @@
 	}
 }
 
-func event1(id int) string { return fmt.Sprintf("id: %d\ndata: t%d\n\n", id, id) }
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: t%d\n\n", id, id) }
 
-type openQuota struct{}
+type unlimitedQuota struct{}
 
-func (openQuota) Admit(time.Duration, string, float64, float64, float64) (time.Duration, bool) {
+func (unlimitedQuota) Admit(time.Duration, string, float64, float64, float64) (time.Duration, bool) {
 	return 0, true
 }
-func (openQuota) Refund(string, float64) {}
+func (unlimitedQuota) Refund(string, float64) {}
 
 // front is a handler in front of scripted targets, tried in their order.
 type front struct {
@@ -135,8 +135,8 @@
 	handler *Handler
 	mu      sync.Mutex
 	state   State
-	// soon says whether a missing state is expected.
-	soon bool
+	// stateSoon says whether a missing state is expected.
+	stateSoon bool
 }
 
 func (f *front) setState(s State) {
@@ -169,9 +169,9 @@
 	placer.Update(map[string][]placement.Target{"s": list})
 	f := &front{state: State{Table: gateway.Compile(document), Fronts: 1}}
 	f.handler = &Handler{
-		Codec: testCodec{}, State: f.getState, Placer: placer, Quota: openQuota{},
+		Codec: testCodec{}, State: f.getState, Placer: placer, Quota: unlimitedQuota{},
 		Budget: &Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, Pool: targetconn.New(), Logger: zap.NewNop(),
-		Boot: func() time.Duration { return 0 }, KeysValid: time.Second, StateSoon: func() bool { return f.soon },
+		Boot: func() time.Duration { return 0 }, KeysValid: time.Second, StateSoon: func() bool { return f.stateSoon },
 		Stopping: func() bool { return false },
 		Observe:  func(gateway.RunKind, string, time.Duration) {},
 	}
@@ -192,23 +192,23 @@
 	r.Header.Set("Id", id)
 	r.Header.Set("Key", "key")
 	r.Header.Set("Limit", "1500")
-	answer, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
-	return answer, string(data), err
+	defer resp.Body.Close()
+	data, err := io.ReadAll(resp.Body)
+	return resp, string(data), err
 }
 
 // Guards against a changed request: method, path, query and body must arrive as
 // they were sent, and the key must not.
 func TestRequestArrivesUnchangedAndWithoutTheKey(t *testing.T) {
-	target := newTarget(t, answered("fine"))
+	target := newTarget(t, respondOK("fine"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
-	answer, body, err := f.call(t, "r1", "POST", strings.Repeat("x", 20_000))
-	if err != nil || answer.StatusCode != 200 || body != "fine" {
-		t.Fatalf("answer %v %q, %v", answer, body, err)
+	resp, body, err := f.call(t, "r1", "POST", strings.Repeat("x", 20_000))
+	if err != nil || resp.StatusCode != 200 || body != "fine" {
+		t.Fatalf("answer %v %q, %v", resp, body, err)
 	}
 	got := target.requests()[0]
 	data, _ := io.ReadAll(got.Body)
@@ -224,11 +224,11 @@
 // may have run it.
 func TestRequestThatRunsOnceIsNotSentAgainAfterABreak(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
-	second := newTarget(t, answered("second"))
+	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce, MaxAttempts: 3}, broken, second)
-	answer, _, err := f.call(t, "r1", "POST", "b")
-	if err != nil || answer.StatusCode != http.StatusBadGateway {
-		t.Fatalf("answer %v, %v; want 502", answer, err)
+	resp, _, err := f.call(t, "r1", "POST", "b")
+	if err != nil || resp.StatusCode != http.StatusBadGateway {
+		t.Fatalf("answer %v, %v; want 502", resp, err)
 	}
 	if len(second.requests()) != 0 {
 		t.Error("request was sent to a second target")
@@ -239,26 +239,26 @@
 // targets than its route allows.
 func TestIdempotentRequestIsSentAgainWithinItsAttempts(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
-	second := newTarget(t, answered("second"))
+	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 2}, broken, second)
 	if _, body, err := f.call(t, "r1", "GET", ""); err != nil || body != "second" {
 		t.Errorf("answer %q, %v", body, err)
 	}
 	alsoBroken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
 	f = newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 1}, broken, alsoBroken)
-	answer, _, err := f.call(t, "r2", "GET", "")
-	if err != nil || answer.StatusCode != http.StatusBadGateway || len(alsoBroken.requests()) != 0 {
-		t.Errorf("answer %v, %v after %d more sends", answer, err, len(alsoBroken.requests()))
+	resp, _, err := f.call(t, "r2", "GET", "")
+	if err != nil || resp.StatusCode != http.StatusBadGateway || len(alsoBroken.requests()) != 0 {
+		t.Errorf("answer %v, %v after %d more sends", resp, err, len(alsoBroken.requests()))
 	}
 }
 
 // Guards against a request that is given up although no target has run it.
 func TestRequestThatATargetHasNotRunGoesElsewhere(t *testing.T) {
-	full := newTarget(t, reply("503 Service Unavailable", "Not-Run: 1\r\n", ""))
-	second := newTarget(t, answered("second"))
+	full := newTarget(t, respond("503 Service Unavailable", "Not-Run: 1\r\n", ""))
+	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, full, second)
-	if answer, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "second" {
-		t.Errorf("answer %v %q, %v", answer, body, err)
+	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "second" {
+		t.Errorf("answer %v %q, %v", resp, body, err)
 	}
 }
 
@@ -266,11 +266,11 @@
 // target's 503 without that statement must not reach the caller as 503.
 func TestFailureOfATargetIsNotPassedOnAsARefusal(t *testing.T) {
 	for _, status := range []string{"503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"} {
-		target := newTarget(t, reply(status, "Signed: yes\r\n", ""))
+		target := newTarget(t, respond(status, "Signed: yes\r\n", ""))
 		f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
-		answer, _, err := f.call(t, "r1", "POST", "b")
-		if err != nil || promisesNotRun(answer.StatusCode) || answer.Header.Get("Retry-After") != "" {
-			t.Errorf("%s: answer %v, %v", status, answer, err)
+		resp, _, err := f.call(t, "r1", "POST", "b")
+		if err != nil || impliesNotRun(resp.StatusCode) || resp.Header.Get("Retry-After") != "" {
+			t.Errorf("%s: answer %v, %v", status, resp, err)
 		}
 	}
 }
@@ -280,20 +280,20 @@
 func TestStrayAnswerOnAConnectionIsSkipped(t *testing.T) {
 	stray := func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 5\r\n\r\nwrong")
-		return answered("right")(conn, r)
+		return respondOK("right")(conn, r)
 	}
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, stray))
-	if answer, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "right" {
-		t.Errorf("answer %v %q, %v", answer, body, err)
+	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "right" {
+		t.Errorf("answer %v %q, %v", resp, body, err)
 	}
 }
 
 // Guards against a success without the target's signature.
 func TestAnswerWithoutSignatureIsNoSuccess(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, reply("200 OK", "", "forged")))
-	answer, body, err := f.call(t, "r1", "POST", "b")
-	if err != nil || answer.StatusCode != http.StatusBadGateway || strings.Contains(body, "forged") {
-		t.Errorf("answer %v %q, %v", answer, body, err)
+	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respond("200 OK", "", "forged")))
+	resp, body, err := f.call(t, "r1", "POST", "b")
+	if err != nil || resp.StatusCode != http.StatusBadGateway || strings.Contains(body, "forged") {
+		t.Errorf("answer %v %q, %v", resp, body, err)
 	}
 }
 
@@ -304,14 +304,14 @@
 		return false
 	}
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, truncated))
-	if answer, _, err := f.call(t, "r1", "POST", "b"); err != nil || answer.StatusCode != http.StatusBadGateway {
-		t.Errorf("answer %v, %v", answer, err)
+	if resp, _, err := f.call(t, "r1", "POST", "b"); err != nil || resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("answer %v, %v", resp, err)
 	}
 }
 
-// answerEarly answers each request before it has read the body, and reports
+// respondEarly answers each request before it has read the body, and reports
 // what comes where the body is due.
-func answerEarly(conn net.Conn, report chan<- string) {
+func respondEarly(conn net.Conn, report chan<- string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -319,7 +319,7 @@
 		if err != nil {
 			return
 		}
-		answered("early")(conn, r)
+		respondOK("early")(conn, r)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			// The connection was given up, which is allowed.
@@ -334,7 +334,7 @@
 // the connection: other bytes must not come where the rest of the body is due.
 func TestTargetThatAnswersEarlyGetsNothingButTheBody(t *testing.T) {
 	report := make(chan string, 8)
-	address, stop, err := loopback.Serve(func(conn net.Conn) { answerEarly(conn, report) })
+	address, stop, err := loopback.Serve(func(conn net.Conn) { respondEarly(conn, report) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,11 +353,11 @@
 // Guards against a resumable stream that ends when its engine dies, and against
 // events that are missing or come twice.
 func TestResumableStreamGoesOnAtAnotherEngine(t *testing.T) {
-	dying := newTarget(t, events(false, event1(1), event1(2), "id: 3\nda"))
-	second := newTarget(t, events(true, event1(2), event1(3), event1(4)))
+	dying := newTarget(t, streamResponse(false, eventText(1), eventText(2), "id: 3\nda"))
+	second := newTarget(t, streamResponse(true, eventText(2), eventText(3), eventText(4)))
 	f := newFront(t, gateway.Route{Kind: gateway.RunStream, Resumable: true, MaxAttempts: 2}, dying, second)
 	_, body, err := f.call(t, "r1", "POST", "b")
-	want := event1(1) + event1(2) + event1(3) + event1(4)
+	want := eventText(1) + eventText(2) + eventText(3) + eventText(4)
 	if err != nil || body != want {
 		t.Errorf("stream %q, %v; want %q", body, err, want)
 	}
@@ -369,8 +369,8 @@
 // Guards against a broken stream that looks complete to its caller, and against
 // a second run of a stream that may not be resumed.
 func TestStreamThatCannotGoOnIsBrokenOff(t *testing.T) {
-	dying := newTarget(t, events(false, event1(1)))
-	second := newTarget(t, events(true, event1(2)))
+	dying := newTarget(t, streamResponse(false, eventText(1)))
+	second := newTarget(t, streamResponse(true, eventText(2)))
 	f := newFront(t, gateway.Route{Kind: gateway.RunStream, MaxAttempts: 2}, dying, second)
 	_, body, err := f.call(t, "r1", "POST", "b")
 	if err == nil {
@@ -401,8 +401,8 @@
 		}
 		cancel()
 	}()
-	if answer, err := http.DefaultClient.Do(r); err == nil {
-		answer.Body.Close()
+	if resp, err := http.DefaultClient.Do(r); err == nil {
+		resp.Body.Close()
 		t.Fatal("request was answered")
 	}
 	select {
@@ -415,12 +415,12 @@
 // Guards against keys that are taken by a VM that has been cut off for longer
 // than a withdrawn key may work.
 func TestKeysAreRefusedOnceTheyAreNotConfirmed(t *testing.T) {
-	target := newTarget(t, answered("fine"))
+	target := newTarget(t, respondOK("fine"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
 	f.setState(State{Table: f.state.Table, Confirmed: -2 * time.Second})
-	answer, _, err := f.call(t, "r1", "POST", "b")
-	if err != nil || answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-		t.Errorf("answer %v, %v; want 503 with Retry-After", answer, err)
+	resp, _, err := f.call(t, "r1", "POST", "b")
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+		t.Errorf("answer %v, %v; want 503 with Retry-After", resp, err)
 	}
 	if len(target.requests()) != 0 {
 		t.Error("request with an unconfirmed key was sent")
@@ -433,16 +433,16 @@
 	b := &Budget{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	for range 100 {
-		b.First("s", now)
+		b.RecordRequest("s", now)
 	}
 	extras := 0
-	for b.Extra("s", now, 8) {
+	for b.TakeRetry("s", now, 8) {
 		extras++
 	}
 	if limit := 0.2*100 + 56.0/8; extras == 0 || float64(extras) > limit {
 		t.Errorf("%d repeats of 100 requests at one of 8 fronts, limit %.0f", extras, limit)
 	}
-	if !b.Extra("s", now.Add(11*time.Second), 8) {
+	if !b.TakeRetry("s", now.Add(11*time.Second), 8) {
 		t.Error("budget does not come back")
 	}
 }
@@ -450,30 +450,30 @@
 // Pattern kill of all: guards against callers whose only other attempt is
 // refused by a front that gets its state a moment later.
 func TestRequestWaitsForAFrontThatHasJustStarted(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, answered("fine")))
+	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
 	ready := f.getState()
 	f.setState(State{})
-	f.soon = true
+	f.stateSoon = true
 	go func() {
 		time.Sleep(100 * time.Millisecond)
 		f.setState(ready)
 	}()
-	if answer, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "fine" {
-		t.Errorf("answer %v %q, %v", answer, body, err)
+	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "fine" {
+		t.Errorf("answer %v %q, %v", resp, body, err)
 	}
 }
 
 // Guards against requests that are held although nobody expects the core back:
 // callers must hear at once when to come again.
 func TestRequestIsRefusedAtOnceWhileNoStateIsExpected(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, answered("fine")))
+	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
 	f.setState(State{})
-	began := time.Now()
-	answer, _, err := f.call(t, "r1", "POST", "b")
-	if err != nil || answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-		t.Errorf("answer %v, %v; want 503 with Retry-After", answer, err)
+	start := time.Now()
+	resp, _, err := f.call(t, "r1", "POST", "b")
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+		t.Errorf("answer %v, %v; want 503 with Retry-After", resp, err)
 	}
-	if took := time.Since(began); took > stateWait {
+	if took := time.Since(start); took > maxStateWait {
 		t.Errorf("refused after %v", took)
 	}
 }
@@ -494,8 +494,8 @@
 
 // Guards against a target that all fronts avoid as lost because a caller has
 // left while the connection was being opened.
-func TestCallerThatLeavesDuringADialSaysNothingOfTheTarget(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, answered("fine")))
+func TestCallerLeavingDuringDialIsNotATargetFailure(t *testing.T) {
+	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
 	r := &recorder{Placer: f.handler.Placer}
 	f.handler.Placer = r
 	ctx, cancel := context.WithCancel(context.Background())
@@ -505,7 +505,7 @@
 	request.Header.Set("Id", "r1")
 	request.Header.Set("Key", "key")
 	f.handler.ServeHTTP(httptest.NewRecorder(), request)
-	if len(r.results) != 1 || r.results[0] != placement.Abandoned {
+	if len(r.results) != 1 || r.results[0] != placement.Canceled {
 		t.Errorf("reported %v, want Abandoned", r.results)
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -42,62 +42,62 @@
 
 // Limits of what callers wait for.
 const (
-	// quotaWait is how long a request waits for its quota rather than being
+	// maxQuotaWait is how long a request waits for its quota rather than being
 	// refused; it is below half of the shortest objective.
-	quotaWait = 120 * time.Millisecond
-	// stateWait is how long a request waits at a front that has just started
+	maxQuotaWait = 120 * time.Millisecond
+	// maxStateWait is how long a request waits at a front that has just started
 	// or lost the core: about an election. It waits for statePart of its own
 	// limit at most. statePoll is the time between two looks.
-	stateWait = 1200 * time.Millisecond
-	statePart = 4
-	statePoll = 20 * time.Millisecond
-	// maxSends bounds the targets that one request is offered to.
-	maxSends = 4
-	// defaultLimit applies to callers that state no deadline.
-	defaultLimit = time.Minute
-	// defaultMaxBody applies to documents without a limit.
-	defaultMaxBody = 8 << 20
-	// drainMargin is taken off the deadline that a target is told.
-	drainMargin = 5 * time.Millisecond
+	maxStateWait      = 1200 * time.Millisecond
+	stateWaitDivisor  = 4
+	statePollInterval = 20 * time.Millisecond
+	// maxAttempts bounds the targets that one request is offered to.
+	maxAttempts = 4
+	// defaultTimeout applies to callers that state no deadline.
+	defaultTimeout = time.Minute
+	// defaultMaxBodyBytes applies to documents without a limit.
+	defaultMaxBodyBytes = 8 << 20
+	// deadlineMargin is taken off the deadline that a target is told.
+	deadlineMargin = 5 * time.Millisecond
 )
 
 // call is one request on its way.
 type call struct {
 	*Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	request Request
-	state   State
-	route   *gateway.Route
-	owner   *gateway.Workspace
-	service string
-	body    []byte
-	started time.Time
+	w         http.ResponseWriter
+	r         *http.Request
+	request   Request
+	state     State
+	route     *gateway.Route
+	workspace *gateway.Workspace
+	service   string
+	body      []byte
+	started   time.Time
 	// deadline is when the caller or the route gives up.
-	deadline time.Time
-	want     placement.Want
-	charged  float64
+	deadline         time.Time
+	placementRequest placement.Request
+	chargedCost      float64
 
-	// sends counts the targets that the request was offered to, runs those
+	// attempts counts the targets that the request was offered to, runs those
 	// that may have run it.
-	sends int
-	runs  int
+	attempts     int
+	possibleRuns int
 	// delivered tells how far the answer to the caller is.
-	headSent bool
-	lastID   int64
-	// failure is the answer of a target that failed, passed on at the end if
+	headersSent bool
+	lastEventID int64
+	// failedResponse is the answer of a target that failed, passed on at the end if
 	// nothing better comes.
-	failure *wholeAnswer
-	target  string
-	reason  string
-	firstAt time.Duration
+	failedResponse *bufferedResponse
+	targetID       string
+	reason         string
+	firstByteAfter time.Duration
 	// choice is the latest choice of a target.
 	choice *placement.Choice
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{Handler: h, w: w, r: r, started: time.Now(), state: h.State(), lastID: -1}
+	c := &call{Handler: h, w: w, r: r, started: time.Now(), state: h.State(), lastEventID: -1}
 	if h.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
@@ -115,7 +115,7 @@
 
 func (c *call) refuse(f *refusal) {
 	if f.status == http.StatusServiceUnavailable || f.status == http.StatusTooManyRequests {
-		c.refund()
+		c.refundQuota()
 	}
 	if f.status == 0 {
 		return
@@ -123,11 +123,11 @@
 	f.write(c.w, c.request.ID)
 }
 
-func (c *call) refund() {
-	if c.charged > 0 && c.runs == 0 {
-		c.Quota.Refund(c.owner.Name, c.charged)
+func (c *call) refundQuota() {
+	if c.chargedCost > 0 && c.possibleRuns == 0 {
+		c.Quota.Refund(c.workspace.Name, c.chargedCost)
 	}
-	c.charged = 0
+	c.chargedCost = 0
 }
 
 // admit decodes the request and checks what it may do.
@@ -135,13 +135,13 @@
 	var err error
 	if c.request, err = c.Codec.Request(c.r.Header); err != nil {
 		c.reason = err.Error()
-		return &errHeaders
+		return &errMalformedHeaders
 	}
-	if c.state.Table == nil || c.stale() {
+	if c.state.Table == nil || c.stateExpired() {
 		c.awaitState()
 	}
 	if c.state.Table == nil {
-		return &errNoDocument
+		return &errNoConfiguration
 	}
 	c.route = c.state.Table.Route(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
@@ -155,24 +155,24 @@
 		return f
 	}
 	c.service = c.route.Pick(rand.Float64())
-	c.Budget.First(c.service, c.started)
-	c.describe()
-	return c.charge()
+	c.Budget.RecordRequest(c.service, c.started)
+	c.buildPlacementRequest()
+	return c.chargeQuota()
 }
 
 // awaitState waits for the core while it is expected back. A caller mostly has
 // one more attempt only, which a refusal would use up.
 func (c *call) awaitState() {
-	wait := stateWait
+	wait := maxStateWait
 	if c.request.Limit > 0 {
-		wait = min(wait, c.request.Limit/statePart)
+		wait = min(wait, c.request.Limit/stateWaitDivisor)
 	}
 	for until := c.started.Add(wait); time.Now().Before(until) && c.StateSoon(); {
-		if !c.pause(statePoll) {
+		if !c.sleep(statePollInterval) {
 			return
 		}
 		c.state = c.State()
-		if c.state.Table != nil && !c.stale() {
+		if c.state.Table != nil && !c.stateExpired() {
 			return
 		}
 	}
@@ -182,32 +182,32 @@
 	if c.route.Open && c.request.Key == "" {
 		return nil
 	}
-	c.owner = c.state.Table.Owner(c.request.Key)
-	if c.owner == nil {
+	c.workspace = c.state.Table.Owner(c.request.Key)
+	if c.workspace == nil {
 		if c.route.Open {
 			return nil
 		}
-		if c.stale() {
-			return &errUnconfirmed
+		if c.stateExpired() {
+			return &errKeysNotConfirmed
 		}
-		return &errKey
+		return &errUnknownKey
 	}
-	if c.stale() {
-		return &errUnconfirmed
+	if c.stateExpired() {
+		return &errKeysNotConfirmed
 	}
 	return nil
 }
 
-// stale reports whether the knowledge of keys is too old: a key that was
+// stateExpired reports whether the knowledge of keys is too old: a key that was
 // withdrawn must stop working also on a VM that is cut off.
-func (c *call) stale() bool {
+func (c *call) stateExpired() bool {
 	return c.KeysValid > 0 && c.Boot()-c.state.Confirmed > c.KeysValid
 }
 
 func (c *call) setDeadline() {
 	limit := c.request.Limit
 	if limit <= 0 {
-		limit = defaultLimit
+		limit = defaultTimeout
 	}
 	c.deadline = c.started.Add(min(limit, c.route.Timeout))
 }
@@ -218,74 +218,74 @@
 	}
 	limit := c.state.Table.Document.Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	if err != nil {
 		c.reason = err.Error()
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return &errTooLarge
+			return &errBodyTooLarge
 		}
-		return &errBody
+		return &errIncompleteBody
 	}
 	c.body = body
 	return nil
 }
 
-// describe says what placement has to know.
-func (c *call) describe() {
-	c.want = placement.Want{Service: c.service}
+// buildPlacementRequest says what placement has to know.
+func (c *call) buildPlacementRequest() {
+	c.placementRequest = placement.Request{Service: c.service}
 	service := c.state.Table.Service(c.service)
 	if !c.route.Cached || service == nil || service.Engine == nil {
 		return
 	}
-	scope := c.scope()
+	scope := c.cacheScope()
 	for _, part := range c.request.Parts {
 		key := xxhash.Sum64String(scope + "\x00" + part.Name)
-		c.want.Parts = append(c.want.Parts, placement.Part{ID: key, Tokens: part.Tokens})
+		c.placementRequest.Parts = append(c.placementRequest.Parts, placement.Part{ID: key, Tokens: part.Tokens})
 	}
-	if len(c.want.Parts) > 0 {
-		c.want.Own = 1
+	if len(c.placementRequest.Parts) > 0 {
+		c.placementRequest.UniqueParts = 1
 	}
 	for _, model := range service.Engine.Models {
-		c.want.Prefer = max(c.want.Prefer, c.state.Weights[model])
+		c.placementRequest.Weights = max(c.placementRequest.Weights, c.state.Weights[model])
 	}
 }
 
-// scope separates the cached parts of isolated workspaces from all others.
-func (c *call) scope() string {
-	if c.owner != nil && c.owner.Isolated {
-		return "isolated-" + c.owner.Name
+// cacheScope separates the cached parts of isolated workspaces from all others.
+func (c *call) cacheScope() string {
+	if c.workspace != nil && c.workspace.Isolated {
+		return "isolated-" + c.workspace.Name
 	}
 	return "shared"
 }
 
-// charge takes the request's cost from the quota of its workspace.
-func (c *call) charge() *refusal {
-	if c.owner == nil || c.owner.Rate <= 0 {
+// chargeQuota takes the request's cost from the quota of its workspace.
+func (c *call) chargeQuota() *refusal {
+	if c.workspace == nil || c.workspace.Rate <= 0 {
 		return nil
 	}
 	cost := 1.0
-	if c.owner.TokenUnit {
-		cost = c.owner.PlainTokens
+	if c.workspace.TokenUnit {
+		cost = c.workspace.PlainTokens
 		if c.request.Sized {
 			cost = float64(c.request.PromptTokens + c.request.OutputTokens)
 		}
 	}
-	wait, ok := c.Quota.Admit(c.Boot(), c.owner.Name, c.owner.Rate, c.owner.Burst, cost)
-	if !ok && wait <= quotaWait && c.pause(wait) {
-		wait, ok = c.Quota.Admit(c.Boot(), c.owner.Name, c.owner.Rate, c.owner.Burst, cost)
+	wait, ok := c.Quota.Admit(c.Boot(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
+	if !ok && wait <= maxQuotaWait && c.sleep(wait) {
+		wait, ok = c.Quota.Admit(c.Boot(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
 	}
 	if !ok {
 		return &refusal{http.StatusTooManyRequests, "quota", wait}
 	}
-	c.charged = cost
+	c.chargedCost = cost
 	return nil
 }
 
-// pause waits and reports false if the caller has left.
-func (c *call) pause(d time.Duration) bool {
+// sleep waits and reports false if the caller has left.
+func (c *call) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -297,8 +297,8 @@
 }
 
 func (c *call) priority() int {
-	if c.owner != nil && c.owner.Priority != nil {
-		return *c.owner.Priority
+	if c.workspace != nil && c.workspace.Priority != nil {
+		return *c.workspace.Priority
 	}
 	return c.route.Priority
 }
@@ -308,85 +308,85 @@
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
 	for {
-		choice, known := c.Placer.Choose(c.want)
+		choice, known := c.Placer.Choose(c.placementRequest)
 		if choice == nil {
-			c.note(fmt.Sprintf("none of %d targets of %s is usable", known, c.service))
-			return c.giveUp()
+			c.addReason(fmt.Sprintf("none of %d targets of %s is usable", known, c.service))
+			return c.endWithoutTarget()
 		}
-		if c.sends > 0 && !c.Budget.Extra(c.service, time.Now(), c.state.Fronts) {
-			c.Placer.Done(choice, placement.Abandoned)
-			c.note("retry budget spent")
-			return c.giveUp()
+		if c.attempts > 0 && !c.Budget.TakeRetry(c.service, time.Now(), c.state.Fronts) {
+			c.Placer.Done(choice, placement.Canceled)
+			c.addReason("retry budget spent")
+			return c.endWithoutTarget()
 		}
-		c.sends++
-		c.target = choice.Target.ID
+		c.attempts++
+		c.targetID = choice.Target.ID
 		c.choice = choice
 		result := c.send(ctx, choice)
 		c.Placer.Done(choice, result.placement())
-		if done, f := c.decide(result); done {
+		if done, f := c.afterAttempt(result); done {
 			return f
 		}
-		c.Logger.Info("sent again", zap.String("id", c.request.ID), zap.String("target", c.target),
-			zap.String("result", result.String()), zap.String("reason", c.reason), zap.Int64("last_event", c.lastID))
-		if result != resultStale {
-			c.want.Exclude = append(c.want.Exclude, choice.Target.ID)
+		c.Logger.Info("sent again", zap.String("id", c.request.ID), zap.String("target", c.targetID),
+			zap.String("result", result.String()), zap.String("reason", c.reason), zap.Int64("last_event", c.lastEventID))
+		if result != resultOtherWeights {
+			c.placementRequest.Exclude = append(c.placementRequest.Exclude, choice.Target.ID)
 		}
 	}
 }
 
-// note adds a reason to the line of the request.
-func (c *call) note(reason string) {
+// addReason adds a reason to the line of the request.
+func (c *call) addReason(reason string) {
 	if c.reason != "" {
 		c.reason += "; "
 	}
 	c.reason += reason
 }
 
-// decide says whether the request is finished after a send.
-func (c *call) decide(result result) (bool, *refusal) {
-	if result == resultDone {
+// afterAttempt says whether the request is finished after a send.
+func (c *call) afterAttempt(result result) (bool, *refusal) {
+	if result == resultDelivered {
 		return true, nil
 	}
 	if c.r.Context().Err() != nil {
-		return true, &errGone
+		return true, &errCallerLeft
 	}
 	if result.mayHaveRun() {
-		c.runs++
+		c.possibleRuns++
 	}
 	if !time.Now().Before(c.deadline) {
-		return true, c.end(&errTimeout)
+		return true, c.endFailed(&errTimeout)
 	}
-	if result.mayHaveRun() && (!c.route.Repeatable() || c.runs >= c.route.MaxAttempts) {
-		return true, c.end(&errBroken)
+	if result.mayHaveRun() && (!c.route.Retryable() || c.possibleRuns >= c.route.MaxAttempts) {
+		return true, c.endFailed(&errTargetFailed)
 	}
-	if c.sends >= maxSends {
-		return true, c.giveUp()
+	if c.attempts >= maxAttempts {
+		return true, c.endWithoutTarget()
 	}
 	return false, nil
 }
 
-// giveUp is the end of a request that no further target can take.
-func (c *call) giveUp() *refusal {
+// endWithoutTarget is the end of a request that no further target can take.
+func (c *call) endWithoutTarget() *refusal {
 	switch {
-	case c.headSent || c.runs > 0:
-		return c.end(&errBroken)
-	case c.sends > 0:
-		return &errFull
+	case c.headersSent || c.possibleRuns > 0:
+		return c.endFailed(&errTargetFailed)
+	case c.attempts > 0:
+		return &errTargetsFull
 	}
 	return &errNoTarget
 }
 
-// end finishes a request that may have run: with the answer of the target that
+// endFailed finishes a request that may have run: with the answer of the target that
 // failed it, or by breaking off what the caller has got in part.
-func (c *call) end(f *refusal) *refusal {
+func (c *call) endFailed(f *refusal) *refusal {
 	switch {
-	case c.headSent:
+	case c.headersSent:
 		return &errAborted
-	case c.failure != nil:
-		c.failure.write(c)
+	case c.failedResponse != nil:
+		c.failedResponse.write(c)
 		return nil
-	case c.runs == 0:
-		return &errFull
+	case c.possibleRuns == 0:
+		return &errTargetsFull
 	}
 	return f
 }
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -20,18 +20,18 @@
 	c.Observe(kind, code, took)
 	fields := []zap.Field{
 		zap.String("id", c.request.ID), zap.String("outcome", code), zap.String("reason", c.reason),
-		zap.Duration("first", c.firstAt), zap.Duration("took", took),
+		zap.Duration("first", c.firstByteAfter), zap.Duration("took", took),
 	}
 	fields = append(fields, c.admissionFields()...)
-	c.Logger.Info(message(code), append(fields, c.placementFields()...)...)
+	c.Logger.Info(logMessage(code), append(fields, c.placementFields()...)...)
 	if code == errAborted.code {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// message keeps failed requests apart, so that sampling under load leaves out
+// logMessage keeps failed requests apart, so that sampling under load leaves out
 // answered ones first.
-func message(code string) string {
+func logMessage(code string) string {
 	if code == "ok" {
 		return "request"
 	}
@@ -48,8 +48,8 @@
 	if c.route != nil {
 		fields = append(fields, zap.String("route", c.route.Name))
 	}
-	if c.owner != nil {
-		fields = append(fields, zap.String("workspace", c.owner.Name))
+	if c.workspace != nil {
+		fields = append(fields, zap.String("workspace", c.workspace.Name))
 	}
 	return fields
 }
@@ -57,14 +57,14 @@
 // placementFields say where the request went, and what was believed of the last
 // target that was chosen.
 func (c *call) placementFields() []zap.Field {
-	fields := []zap.Field{zap.String("target", c.target), zap.Int("sends", c.sends), zap.Int("runs", c.runs)}
+	fields := []zap.Field{zap.String("target", c.targetID), zap.Int("sends", c.attempts), zap.Int("runs", c.possibleRuns)}
 	if c.choice == nil || c.request.PromptTokens == 0 {
 		return fields
 	}
 	fields = append(fields, zap.Int("prompt", c.request.PromptTokens), zap.Int("cached", c.choice.CachedTokens),
 		zap.Bool("home", c.choice.Home), zap.Duration("expected", c.choice.Expected))
-	if c.choice.Source != nil {
-		fields = append(fields, zap.String("fetched_from", c.choice.Source.ID))
+	if c.choice.FetchFrom != nil {
+		fields = append(fields, zap.String("fetched_from", c.choice.FetchFrom.ID))
 	}
 	return fields
 }
--- a/internal/forward/ports.go
+++ b/internal/forward/ports.go
@@ -107,8 +107,8 @@
 
 // Placer chooses targets.
 type Placer interface {
-	Choose(want placement.Want) (*placement.Choice, int)
-	First(c *placement.Choice)
+	Choose(want placement.Request) (*placement.Choice, int)
+	RecordFirstByte(c *placement.Choice)
 	SetWeights(c *placement.Choice, version uint64)
 	Done(c *placement.Choice, result placement.Result)
 }
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -33,32 +33,32 @@
 }
 
 const (
-	// soon is the Retry-After while the targets are full or not known.
-	soon = 500 * time.Millisecond
-	// afterElection is the Retry-After while the core cannot be reached: an
+	// targetRetryAfter is the Retry-After while the targets are full or not known.
+	targetRetryAfter = 500 * time.Millisecond
+	// electionRetryAfter is the Retry-After while the core cannot be reached: an
 	// election, and the time until the front has found the new leader.
-	afterElection = 1200 * time.Millisecond
+	electionRetryAfter = 1200 * time.Millisecond
 )
 
 // The refusals. Those with 429 or 503 mean that the request has not run and
 // will not run.
 var (
-	errNoDocument  = refusal{http.StatusServiceUnavailable, "no_configuration", afterElection}
-	errUnconfirmed = refusal{http.StatusServiceUnavailable, "keys_not_confirmed", afterElection}
-	errNoTarget    = refusal{http.StatusServiceUnavailable, "no_target", soon}
-	errFull        = refusal{http.StatusServiceUnavailable, "targets_full", soon}
-	errNoRoute     = refusal{http.StatusNotFound, "no_route", 0}
-	errKey         = refusal{http.StatusUnauthorized, "unknown_key", 0}
-	errHeaders     = refusal{http.StatusBadRequest, "malformed_headers", 0}
-	errTooLarge    = refusal{http.StatusRequestEntityTooLarge, "body_too_large", 0}
-	errBody        = refusal{http.StatusBadRequest, "incomplete_body", 0}
-	errBroken      = refusal{http.StatusBadGateway, "target_failed", 0}
-	errTimeout     = refusal{http.StatusGatewayTimeout, "timeout", 0}
+	errNoConfiguration  = refusal{http.StatusServiceUnavailable, "no_configuration", electionRetryAfter}
+	errKeysNotConfirmed = refusal{http.StatusServiceUnavailable, "keys_not_confirmed", electionRetryAfter}
+	errNoTarget         = refusal{http.StatusServiceUnavailable, "no_target", targetRetryAfter}
+	errTargetsFull      = refusal{http.StatusServiceUnavailable, "targets_full", targetRetryAfter}
+	errNoRoute          = refusal{http.StatusNotFound, "no_route", 0}
+	errUnknownKey       = refusal{http.StatusUnauthorized, "unknown_key", 0}
+	errMalformedHeaders = refusal{http.StatusBadRequest, "malformed_headers", 0}
+	errBodyTooLarge     = refusal{http.StatusRequestEntityTooLarge, "body_too_large", 0}
+	errIncompleteBody   = refusal{http.StatusBadRequest, "incomplete_body", 0}
+	errTargetFailed     = refusal{http.StatusBadGateway, "target_failed", 0}
+	errTimeout          = refusal{http.StatusGatewayTimeout, "timeout", 0}
 )
 
 // errAborted ends the connection to the caller, because the answer that it has
 // got in part cannot be completed.
 var errAborted = refusal{0, "aborted", 0}
 
-// errGone means that the caller has left.
-var errGone = refusal{0, "caller_left", 0}
+// errCallerLeft means that the caller has left.
+var errCallerLeft = refusal{0, "caller_left", 0}
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -21,26 +21,26 @@
 type result uint8
 
 const (
-	// resultDone means that the answer was delivered whole.
-	resultDone result = iota
+	// resultDelivered means that the answer was delivered whole.
+	resultDelivered result = iota
 	// resultNotSent means that no target can have seen the request whole.
 	resultNotSent
-	// resultCancelled means that the caller has left, or the time was up, before
+	// resultCanceledUnsent means that the caller has left, or the time was up, before
 	// anything was sent.
-	resultCancelled
+	resultCanceledUnsent
 	// resultRefused means that the target has stated not to have run it.
 	resultRefused
-	// resultMoved means that another target has the address.
-	resultMoved
-	// resultStale means that the engine runs other weights than expected.
-	resultStale
+	// resultMisdirected means that another target has the address.
+	resultMisdirected
+	// resultOtherWeights means that the engine runs other weights than expected.
+	resultOtherWeights
 	// resultFailed is a failure that the target has answered.
 	resultFailed
 	// resultBroken is a broken connection, silence, or an answer that cannot
 	// be used.
 	resultBroken
-	// resultGone means that the caller has left or the time is up.
-	resultGone
+	// resultCanceledSent means that the caller has left or the time is up.
+	resultCanceledSent
 )
 
 func (r result) String() string {
@@ -48,57 +48,57 @@
 }
 
 func (r result) mayHaveRun() bool {
-	return r == resultFailed || r == resultBroken || r == resultGone
+	return r == resultFailed || r == resultBroken || r == resultCanceledSent
 }
 
 func (r result) placement() placement.Result {
 	return [...]placement.Result{
-		placement.Answered, placement.Unreachable, placement.Abandoned, placement.Full, placement.Moved, placement.Abandoned,
-		placement.Failed, placement.Failed, placement.Abandoned,
+		placement.Answered, placement.Unreachable, placement.Canceled, placement.Rejected, placement.Misdirected, placement.Canceled,
+		placement.Failed, placement.Failed, placement.Canceled,
 	}[r]
 }
 
 const (
-	// idleOnce is how long a connection may have been idle for a request that
+	// maxIdleOnce is how long a connection may have been idle for a request that
 	// runs at most once: a target that has gone silent is then noticed while
 	// the connection is opened, when the request can still go elsewhere.
-	idleOnce = 500 * time.Millisecond
-	// idleRepeatable applies to all other requests.
-	idleRepeatable = time.Minute
-	// concurrentBody is the size from which a body is written while the
+	maxIdleOnce = 500 * time.Millisecond
+	// maxIdleRetryable applies to all other requests.
+	maxIdleRetryable = time.Minute
+	// concurrentBodyBytes is the size from which a body is written while the
 	// answer is read, because a target may answer before it has read it all.
-	concurrentBody = 8 << 10
-	// maxStrayAnswers bounds answers to earlier requests that are skipped.
-	maxStrayAnswers = 4
-	// maxAnswer bounds an answer that is read whole.
-	maxAnswer = 32 << 20
+	concurrentBodyBytes = 8 << 10
+	// maxStrayResponses bounds answers to earlier requests that are skipped.
+	maxStrayResponses = 4
+	// maxResponseBytes bounds an answer that is read whole.
+	maxResponseBytes = 32 << 20
 )
 
 // send offers the request to one target.
 func (c *call) send(ctx context.Context, choice *placement.Choice) result {
-	maxIdle := idleOnce
-	if c.route.Repeatable() {
-		maxIdle = idleRepeatable
+	maxIdle := maxIdleOnce
+	if c.route.Retryable() {
+		maxIdle = maxIdleRetryable
 	}
 	conn, err := c.Pool.Get(ctx, choice.Target.Address, maxIdle)
 	if err != nil {
 		c.reason = err.Error()
 		if ctx.Err() != nil {
-			return resultCancelled
+			return resultCanceledUnsent
 		}
 		return resultNotSent
 	}
 	s := &exchange{call: c, conn: conn, choice: choice, context: ctx}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Conn.Close() })
-	result := s.run()
-	if !stop() && result != resultDone {
-		result = resultGone
+	result := s.roundTrip()
+	if !stop() && result != resultDelivered {
+		result = resultCanceledSent
 	}
-	if s.keep == nil || !s.written() {
+	if s.reusableAfter == nil || !s.bodyWritten() {
 		_ = conn.Conn.Close()
 		return result
 	}
-	c.Pool.Put(conn, s.keep)
+	c.Pool.Put(conn, s.reusableAfter)
 	return result
 }
 
@@ -110,60 +110,60 @@
 	context context.Context
 	// bodyDone yields the result of a body that is written concurrently.
 	bodyDone chan error
-	// keep is the answer after which the connection can be used again.
-	keep *http.Response
+	// reusableAfter is the answer after which the connection can be used again.
+	reusableAfter *http.Response
 }
 
-func (s *exchange) run() result {
-	head := s.head()
+func (s *exchange) roundTrip() result {
+	head := s.requestHead()
 	if err := s.write(head); err != nil {
 		s.reason = err.Error()
-		return s.unlessUnsent(err)
+		return s.writeFailure(err)
 	}
-	answer, meta, err := s.read()
+	resp, meta, err := s.readResponse()
 	if err != nil {
 		s.reason = err.Error()
 		return resultBroken
 	}
-	s.Placer.First(s.choice)
+	s.Placer.RecordFirstByte(s.choice)
 	switch {
 	case meta.OtherWeights:
 		s.Placer.SetWeights(s.choice, meta.Weights)
-		return s.discard(answer, resultStale)
+		return s.discard(resp, resultOtherWeights)
 	case meta.Misdirected:
-		return s.discard(answer, resultMoved)
+		return s.discard(resp, resultMisdirected)
 	case meta.NotRun:
-		return s.discard(answer, resultRefused)
-	case s.route.Kind == gateway.RunStream && answer.StatusCode == http.StatusOK:
-		return s.stream(answer, meta)
+		return s.discard(resp, resultRefused)
+	case s.route.Kind == gateway.RunStream && resp.StatusCode == http.StatusOK:
+		return s.forwardStream(resp, meta)
 	}
-	return s.whole(answer, meta)
+	return s.forwardBuffered(resp, meta)
 }
 
-// errPartial means that the target cannot have got the request whole.
-var errPartial = errors.New("request was written in part")
+// errIncompleteWrite means that the target cannot have got the request whole.
+var errIncompleteWrite = errors.New("request was written in part")
 
-func (s *exchange) unlessUnsent(err error) result {
-	if errors.Is(err, errPartial) {
+func (s *exchange) writeFailure(err error) result {
+	if errors.Is(err, errIncompleteWrite) {
 		return resultNotSent
 	}
 	return resultBroken
 }
 
-// head returns the request line and headers as they go to the target.
-func (s *exchange) head() []byte {
+// requestHead returns the request line and headers as they go to the target.
+func (s *exchange) requestHead() []byte {
 	a := &Attempt{
 		TargetID:    s.choice.Target.ID,
-		Limit:       max(time.Until(s.deadline)-drainMargin, time.Millisecond),
+		Limit:       max(time.Until(s.deadline)-deadlineMargin, time.Millisecond),
 		Priority:    s.priority(),
 		ResumeAfter: s.request.ResumeAfter,
 	}
-	if s.owner != nil {
-		a.Workspace = s.owner.Name
+	if s.workspace != nil {
+		a.Workspace = s.workspace.Name
 	}
-	s.describeCache(a)
-	if s.lastID >= 0 {
-		a.ResumeAfter = strconv.FormatInt(s.lastID, 10)
+	s.setCacheFields(a)
+	if s.lastEventID >= 0 {
+		a.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
 	}
 	var b bytes.Buffer
 	b.WriteString(s.r.Method)
@@ -182,21 +182,21 @@
 	return b.Bytes()
 }
 
-// describeCache says which cached parts the engine may use. The scope names the
+// setCacheFields says which cached parts the engine may use. The scope names the
 // weights, and the engine must run these: what is cached under a scope was then
 // made with its weights, wherever it is fetched from.
-func (s *exchange) describeCache(a *Attempt) {
-	if len(s.want.Parts) == 0 {
+func (s *exchange) setCacheFields(a *Attempt) {
+	if len(s.placementRequest.Parts) == 0 {
 		return
 	}
 	a.Weights = s.choice.Target.Weights
-	a.Scope = s.scope() + "-" + strconv.FormatUint(a.Weights, 10)
+	a.Scope = s.cacheScope() + "-" + strconv.FormatUint(a.Weights, 10)
 	if a.Weights == 0 {
 		return
 	}
-	a.SaveTo = s.choice.Save
-	if s.choice.Source != nil {
-		a.FetchFrom = s.choice.Source.Address
+	a.SaveTo = s.choice.SaveTo
+	if s.choice.FetchFrom != nil {
+		a.FetchFrom = s.choice.FetchFrom.Address
 	}
 }
 
@@ -228,16 +228,16 @@
 
 // write sends the request. A large body is sent while the answer is read.
 func (s *exchange) write(head []byte) error {
-	if len(s.body) < concurrentBody {
+	if len(s.body) < concurrentBodyBytes {
 		n, err := s.conn.Write(append(head, s.body...))
 		if err != nil && n < len(head)+len(s.body) {
-			return errors.Mark(err, errPartial)
+			return errors.Mark(err, errIncompleteWrite)
 		}
 		return err
 	}
 	if n, err := s.conn.Write(head); err != nil {
 		if n < len(head) {
-			err = errors.Mark(err, errPartial)
+			err = errors.Mark(err, errIncompleteWrite)
 		}
 		return err
 	}
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// written reports whether the body was sent whole, without waiting.
-func (s *exchange) written() bool {
+// bodyWritten reports whether the body was sent whole, without waiting.
+func (s *exchange) bodyWritten() bool {
 	if s.bodyDone == nil {
 		return true
 	}
@@ -262,23 +262,23 @@
 	}
 }
 
-// read returns the answer to this request. Answers to earlier requests on the
+// readResponse returns the answer to this request. Answers to earlier requests on the
 // connection are skipped; they are known by their request ID.
-func (s *exchange) read() (*http.Response, Answer, error) {
-	for range maxStrayAnswers {
-		answer, err := http.ReadResponse(s.conn.Reader, &http.Request{Method: s.r.Method})
+func (s *exchange) readResponse() (*http.Response, Answer, error) {
+	for range maxStrayResponses {
+		resp, err := http.ReadResponse(s.conn.Reader, &http.Request{Method: s.r.Method})
 		if err != nil {
 			return nil, Answer{}, err
 		}
-		meta := s.Codec.Answer(answer.StatusCode, answer.Header, s.choice.Target.ID)
+		meta := s.Codec.Answer(resp.StatusCode, resp.Header, s.choice.Target.ID)
 		if meta.RequestID == s.request.ID || meta.RequestID == "" && meta.NotRun {
-			return answer, meta, nil
+			return resp, meta, nil
 		}
 		s.Logger.Info("answer to another request skipped")
-		if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswer)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 			return nil, Answer{}, err
 		}
-		if answer.Close || answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
+		if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			break
 		}
 	}
@@ -286,53 +286,53 @@
 }
 
 // discard reads the rest of an answer that the caller does not get.
-func (s *exchange) discard(answer *http.Response, result result) result {
-	s.reason = "target answered " + answer.Status
-	if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswer)); err == nil {
-		s.keep = answer
+func (s *exchange) discard(resp *http.Response, result result) result {
+	s.reason = "target answered " + resp.Status
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err == nil {
+		s.reusableAfter = resp
 	}
 	return result
 }
 
-// wholeAnswer is an answer that was read to its end.
-type wholeAnswer struct {
+// bufferedResponse is an answer that was read to its end.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// whole reads an answer to its end before the caller gets any of it.
-func (s *exchange) whole(answer *http.Response, meta Answer) result {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+// forwardBuffered reads an answer to its end before the caller gets any of it.
+func (s *exchange) forwardBuffered(resp *http.Response, meta Answer) result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		s.reason = "answer broke off: " + err.Error()
 		return resultBroken
 	}
-	s.keep = answer
+	s.reusableAfter = resp
 	if !meta.Signed {
 		s.reason = "answer without signature"
-		s.keep = nil
+		s.reusableAfter = nil
 		return resultBroken
 	}
-	w := &wholeAnswer{answer.StatusCode, answer.Header, body}
-	if promisesNotRun(answer.StatusCode) {
+	buffered := &bufferedResponse{resp.StatusCode, resp.Header, body}
+	if impliesNotRun(resp.StatusCode) {
 		// The target has not stated that it did not run the request, so the
 		// caller must not read that from the status.
-		s.reason = "target failed with " + answer.Status
+		s.reason = "target failed with " + resp.Status
 		return resultFailed
 	}
-	if answer.StatusCode >= http.StatusInternalServerError {
-		s.reason = "target failed with " + answer.Status
-		s.failure = w
+	if resp.StatusCode >= http.StatusInternalServerError {
+		s.reason = "target failed with " + resp.Status
+		s.failedResponse = buffered
 		return resultFailed
 	}
-	w.write(s.call)
-	return resultDone
+	buffered.write(s.call)
+	return resultDelivered
 }
 
-// promisesNotRun reports whether callers take a status as the promise that the
+// impliesNotRun reports whether callers take a status as the promise that the
 // request has not run.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -340,67 +340,67 @@
 	return false
 }
 
-func (a *wholeAnswer) write(c *call) {
-	c.Codec.Reply(c.w.Header(), a.header)
-	c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	c.firstAt = time.Since(c.started)
-	c.w.WriteHeader(a.status)
+func (b *bufferedResponse) write(c *call) {
+	c.Codec.Reply(c.w.Header(), b.header)
+	c.w.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
+	c.firstByteAfter = time.Since(c.started)
+	c.w.WriteHeader(b.status)
 	// A failure here means that the caller has left.
-	_, _ = c.w.Write(a.body)
+	_, _ = c.w.Write(b.body)
 }
 
-// stream passes events on as they arrive.
-func (s *exchange) stream(answer *http.Response, meta Answer) result {
+// forwardStream passes events on as they arrive.
+func (s *exchange) forwardStream(resp *http.Response, meta Answer) result {
 	if !meta.Signed {
 		s.reason = "answer without signature"
 		return resultBroken
 	}
-	events := eventReader{from: bufio.NewReader(answer.Body)}
+	events := eventReader{src: bufio.NewReader(resp.Body)}
 	flusher := http.NewResponseController(s.w)
 	for {
 		e, err := events.next()
 		if err != nil {
-			return s.endStream(answer, e, err)
+			return s.endStream(resp, e, err)
 		}
-		if e.id >= 0 && e.id <= s.lastID {
+		if e.id >= 0 && e.id <= s.lastEventID {
 			continue
 		}
-		if !s.headSent {
-			s.beginStream(answer)
+		if !s.headersSent {
+			s.beginStream(resp)
 		}
 		if _, err := s.w.Write(e.data); err != nil {
 			s.reason = "caller does not read: " + err.Error()
-			return resultGone
+			return resultCanceledSent
 		}
 		if err := flusher.Flush(); err != nil {
 			s.reason = "caller does not read: " + err.Error()
-			return resultGone
+			return resultCanceledSent
 		}
 		if e.id >= 0 {
-			s.lastID = e.id
+			s.lastEventID = e.id
 		}
 	}
 }
 
-func (s *exchange) beginStream(answer *http.Response) {
-	s.Codec.Reply(s.w.Header(), answer.Header)
-	s.w.WriteHeader(answer.StatusCode)
-	s.headSent = true
-	s.firstAt = time.Since(s.started)
+func (s *exchange) beginStream(resp *http.Response) {
+	s.Codec.Reply(s.w.Header(), resp.Header)
+	s.w.WriteHeader(resp.StatusCode)
+	s.headersSent = true
+	s.firstByteAfter = time.Since(s.started)
 }
 
 // endStream passes on what follows the last whole event if the stream has
 // ended and did not break off.
-func (s *exchange) endStream(answer *http.Response, rest event, err error) result {
+func (s *exchange) endStream(resp *http.Response, rest event, err error) result {
 	if !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		s.reason = "stream broke off: " + err.Error()
 		return resultBroken
 	}
-	if !s.headSent {
-		s.beginStream(answer)
+	if !s.headersSent {
+		s.beginStream(resp)
 	}
 	// A failure here means that the caller has left.
 	_, _ = s.w.Write(rest.data)
-	s.keep = answer
-	return resultDone
+	s.reusableAfter = resp
+	return resultDelivered
 }
--- a/internal/gateway/document.go
+++ b/internal/gateway/document.go
@@ -58,8 +58,8 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request that may have run can be sent again.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request that may have run can be sent again.
+func (r *Route) Retryable() bool {
 	return r.Kind == RunIdempotent || r.Kind == RunStream && r.Resumable
 }
 
@@ -142,17 +142,17 @@
 		}
 		services[d.Services[i].Name] = true
 	}
-	places := make(map[string]string)
+	routeByMatch := make(map[string]string)
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if err := r.validate(services); err != nil {
 			return err
 		}
-		place := r.Host + "\x00" + r.PathPrefix
-		if other, ok := places[place]; ok {
+		match := r.Host + "\x00" + r.PathPrefix
+		if other, ok := routeByMatch[match]; ok {
 			return invalid("routes %q and %q share host and prefix", other, r.Name)
 		}
-		places[place] = r.Name
+		routeByMatch[match] = r.Name
 	}
 	return d.validateKeys()
 }
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// First reports the first byte of an answer.
-func (p *Placer) First(c *Choice) {
+// RecordFirstByte reports the first byte of an answer.
+func (p *Placer) RecordFirstByte(c *Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.started {
+	if c.firstByteSeen {
 		return
 	}
-	c.started = true
+	c.firstByteSeen = true
 	m := c.member
 	now := p.Clock()
-	extra := max(0, float64(now.Sub(c.sent)-c.Expected)/float64(time.Millisecond)+c.bias)
+	extra := max(0, float64(now.Sub(c.sentAt)-c.Expected)/float64(time.Millisecond)+c.includedWaitMS)
 	// A mean of the decayed wait and the new one follows a change quickly and
 	// still smooths single slow answers.
-	m.waitMS = (m.wait(now) + extra) / 2
+	m.waitMS = (m.currentWait(now) + extra) / 2
 	m.waitAt = now
-	m.paused = false
+	m.down = false
 }
 
 // Result is what became of a request at a target.
@@ -31,16 +31,16 @@
 	Failed
 	// Unreachable means that no connection could be made or it broke at once.
 	Unreachable
-	// Full means that the target has refused the request without running it.
-	Full
-	// Moved means that another target has the address.
-	Moved
-	// Abandoned says nothing about the target: the caller has left.
-	Abandoned
+	// Rejected means that the target has refused the request without running it.
+	Rejected
+	// Misdirected means that another target has the address.
+	Misdirected
+	// Canceled says nothing about the target: the caller has left.
+	Canceled
 )
 
-// fullWaitMS is the wait assumed at a target that refuses requests.
-const fullWaitMS = 400.0
+// rejectedWaitMS is the wait assumed at a target that refuses requests.
+const rejectedWaitMS = 400.0
 
 // Done reports the end of a request.
 func (p *Placer) Done(c *Choice, result Result) {
@@ -49,24 +49,24 @@
 	m := c.member
 	m.inflight--
 	now := p.Clock()
-	if !c.started && result != Answered {
-		m.load(now, -c.prefill)
+	if !c.firstByteSeen && result != Answered {
+		m.addBacklog(now, -c.workMS)
 	}
-	c.started = true
+	c.firstByteSeen = true
 	switch result {
 	case Answered:
-		m.note(now, 0)
+		m.recordOutcome(now, 0)
 	case Failed:
-		m.note(now, 1)
-	case Full:
-		m.waitMS, m.waitAt = max(m.wait(now), fullWaitMS), now
-	case Moved:
+		m.recordOutcome(now, 1)
+	case Rejected:
+		m.waitMS, m.waitAt = max(m.currentWait(now), rejectedWaitMS), now
+	case Misdirected:
 		// Until the registry knows of it.
 		m.Closed, m.Gone = true, true
 	case Unreachable:
-		m.note(now, 1)
-		m.paused = true
-		p.announceLost(m)
+		m.recordOutcome(now, 1)
+		m.down = true
+		p.announceUnreachable(m)
 	}
 }
 
@@ -78,7 +78,7 @@
 	var list []Target
 	for _, s := range p.services {
 		for _, m := range s.members {
-			if m.paused && !m.Closed {
+			if m.down && !m.Closed {
 				list = append(list, m.Target)
 			}
 		}
@@ -93,18 +93,18 @@
 	for _, s := range p.services {
 		for _, m := range s.members {
 			if m.ID == id {
-				m.paused = false
+				m.down = false
 			}
 		}
 	}
 }
 
-// failureWeight is the weight of one request in the share of failures.
-const failureWeight = 0.2
+// failureSmoothing is the weight of one request in the share of failures.
+const failureSmoothing = 0.2
 
-func (m *member) note(now time.Time, failed float64) {
-	m.failures = m.failed(now)*(1-failureWeight) + failed*failureWeight
-	m.failedAt = now
+func (m *member) recordOutcome(now time.Time, failed float64) {
+	m.failureRate = m.currentFailureRate(now)*(1-failureSmoothing) + failed*failureSmoothing
+	m.failureRateAt = now
 }
 
 // Targets returns all targets.
@@ -128,6 +128,6 @@
 	if c.member.Weights != version {
 		c.member.Weights = version
 		clear(c.member.parts)
-		p.index()
+		p.rebuildEngineIndex()
 	}
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// retainedPart is the part of an engine's memory that holds cached parts;
+	// cacheFraction is the part of an engine's memory that holds cached parts;
 	// requests that run take the rest.
-	retainedPart = 0.8
-	// defaultCache applies to engines whose memory is not known, in tokens.
-	defaultCache = 80_000
+	cacheFraction = 0.8
+	// defaultCacheTokens applies to engines whose memory is not known, in tokens.
+	defaultCacheTokens = 80_000
 	// waitHalfLife is how fast an observed wait at a target is forgotten.
 	waitHalfLife = 700 * time.Millisecond
 	// failureHalfLife is how fast the failures of a target are forgotten.
 	failureHalfLife = 4 * time.Second
-	// prefillRate is the prompt tokens that an engine reads in a millisecond.
+	// prefillTokensPerMS is the prompt tokens that an engine reads in a millisecond.
 	// It reads chunkTokens in a step, each of which takes stepMS more, and
 	// pairMS for each token and token before it; see the sheet of the engines.
-	prefillRate = 41.4
-	chunkTokens = 1024
-	stepMS      = 4.63
-	pairMS      = 0.59e-6
-	// sameRegion and otherRegion are the round trips to a target.
-	sameRegion  = 1 * time.Millisecond
-	otherRegion = 60 * time.Millisecond
+	prefillTokensPerMS = 41.4
+	prefillChunkTokens = 1024
+	prefillStepMS      = 4.63
+	attentionPairMS    = 0.59e-6
+	// sameRegionRTT and otherRegion are the round trips to a target.
+	sameRegionRTT  = 1 * time.Millisecond
+	crossRegionRTT = 60 * time.Millisecond
 	// Fetching a token of cached memory from another engine takes this many
 	// milliseconds, by where it is; see the rates of the links.
-	fetchSameZone    = 0.002
-	fetchOtherZone   = 0.004
-	fetchOtherRegion = 0.02
+	fetchSameZoneMS    = 0.002
+	fetchCrossZoneMS   = 0.004
+	fetchCrossRegionMS = 0.02
 	// fetchSetupMS is the fixed time of a fetch.
 	fetchSetupMS = 2.0
-	// minFetch is the number of tokens from which a fetch is worth its set-up.
-	minFetch = 128
-	// tieMS is the difference in milliseconds within which targets count as
+	// minFetchTokens is the number of tokens from which a fetch is worth its set-up.
+	minFetchTokens = 128
+	// tieThresholdMS is the difference in milliseconds within which targets count as
 	// equal and the less loaded one is taken.
-	tieMS = 3.0
-	// homePart is the preference for the home of a prompt, as a part of the
+	tieThresholdMS = 3.0
+	// homeDiscount is the preference for the home of a prompt, as a part of the
 	// time that its shared parts take to read. It keeps the prompts of a
 	// subject together, so that their parts are cached once rather than on
 	// many engines.
-	homePart = 0.8
-	// slotMS is what one more request of this VM at a target adds to the
+	homeDiscount = 0.8
+	// inflightPenaltyMS is what one more request of this VM at a target adds to the
 	// expected wait, in milliseconds.
-	slotMS = 2.0
-	// failureMS is the penalty of a target that fails every request.
-	failureMS = 4000.0
+	inflightPenaltyMS = 2.0
+	// failurePenaltyMS is the penalty of a target that fails every request.
+	failurePenaltyMS = 4000.0
 )
 
 // Target is what placement knows of one incarnation.
@@ -80,22 +80,22 @@
 	Tokens int
 }
 
-// Want describes a request to place.
-type Want struct {
+// Request describes a request to place.
+type Request struct {
 	Service string
 	// Parts are the parts of the prompt in order; Own is the number of
 	// trailing parts that no other request shares.
-	Parts []Part
-	Own   int
-	// Prefer is the version of the weights that engines should run; older
+	Parts       []Part
+	UniqueParts int
+	// Weights is the version of the weights that engines should run; older
 	// ones come last.
-	Prefer uint64
+	Weights uint64
 	// Exclude lists targets that have failed this request.
 	Exclude []string
 }
 
-// shared returns the parts that other requests may share.
-func (w *Want) shared() []Part { return w.Parts[:max(len(w.Parts)-w.Own, 0)] }
+// sharedParts returns the parts that other requests may share.
+func (w *Request) sharedParts() []Part { return w.Parts[:max(len(w.Parts)-w.UniqueParts, 0)] }
 
 // Choice is a chosen target. Exactly one of its outcomes must be reported.
 type Choice struct {
@@ -104,31 +104,31 @@
 	CachedTokens int
 	// Home is set if all VMs expect the shared parts here.
 	Home bool
-	// Source is an engine or store from which more of the prompt can be
+	// FetchFrom is an engine or store from which more of the prompt can be
 	// fetched; nil if there is none.
-	Source *Target
-	// Save is the address of a store that takes what the engine reads; empty
+	FetchFrom *Target
+	// SaveTo is the address of a store that takes what the engine reads; empty
 	// if the engine holds the shared parts already.
-	Save string
+	SaveTo string
 	// Expected is the expected time to the first byte of the answer.
 	Expected time.Duration
 
-	member  *member
-	prefill float64
-	// inserted is the number of tokens that the request brings into memory.
-	inserted float64
-	// bias is the part of Expected that was observed at earlier requests.
-	bias    float64
-	sent    time.Time
-	started bool
+	member *member
+	workMS float64
+	// insertedTokens is the number of tokens that the request brings into memory.
+	insertedTokens float64
+	// includedWaitMS is the part of Expected that was observed at earlier requests.
+	includedWaitMS float64
+	sentAt         time.Time
+	firstByteSeen  bool
 }
 
 type member struct {
 	Target
 	hash uint64
-	// registered is the version of the weights in the registry; Weights may be
+	// registryWeights is the version of the weights in the registry; Weights may be
 	// what the engine itself has stated since.
-	registered uint64
+	registryWeights uint64
 	// inflight counts requests of this VM.
 	inflight int
 	// backlogMS is the prompt work of all VMs that the engine had not done as
@@ -138,16 +138,16 @@
 	// waitMS is the observed wait beyond the expected one as of waitAt.
 	waitMS float64
 	waitAt time.Time
-	// failures is the decayed share of failed requests as of failedAt.
-	failures float64
-	failedAt time.Time
-	// paused keeps requests away from a target that was not reachable.
-	paused bool
-	// inserted is the number of tokens that requests of all VMs have brought
+	// failureRate is the decayed share of failed requests as of failedAt.
+	failureRate   float64
+	failureRateAt time.Time
+	// down keeps requests away from a target that was not reachable.
+	down bool
+	// insertedTokens is the number of tokens that requests of all VMs have brought
 	// into the engine's memory, and parts holds its value at the last use of a
 	// part: the least recently used parts yield to what came after them.
-	inserted float64
-	parts    map[uint32]float64
+	insertedTokens float64
+	parts          map[uint32]float64
 }
 
 type service struct{ members []*member }
@@ -163,16 +163,16 @@
 	mu       sync.Mutex
 	services map[string]*service
 	// outbox holds packets for the other fronts.
-	outbox [][]byte
-	wake   chan struct{}
-	// engines finds members by engineHash.
-	engines map[uint32]*member
-	stores  []*store
+	outbox     [][]byte
+	hintsReady chan struct{}
+	// enginesByHash finds members by engineHash.
+	enginesByHash map[uint32]*member
+	stores        []*store
 }
 
 // New returns a placer without targets.
 func New(zone, region string, clock func() time.Time) *Placer {
-	return &Placer{Region: region, Zone: zone, Clock: clock, wake: make(chan struct{}, 1)}
+	return &Placer{Region: region, Zone: zone, Clock: clock, hintsReady: make(chan struct{}, 1)}
 }
 
 // Update replaces the registry. What is known of targets that stay is kept.
@@ -189,25 +189,25 @@
 		}
 		s := &service{}
 		for _, t := range list {
-			s.members = append(s.members, adopt(known[t.ID], t))
+			s.members = append(s.members, mergeMember(known[t.ID], t))
 		}
 		next[name] = s
 	}
 	p.services = next
-	p.index()
+	p.rebuildEngineIndex()
 }
 
-// adopt keeps what is known of an incarnation. New weights empty its cache.
-func adopt(m *member, t Target) *member {
+// mergeMember keeps what is known of an incarnation. New weights empty its cache.
+func mergeMember(m *member, t Target) *member {
 	if m == nil || m.Address != t.Address || m.Started != t.Started {
-		return &member{Target: t, registered: t.Weights, hash: xxhash.Sum64String(t.ID), parts: make(map[uint32]float64)}
+		return &member{Target: t, registryWeights: t.Weights, hash: xxhash.Sum64String(t.ID), parts: make(map[uint32]float64)}
 	}
 	weights := m.Weights
-	if t.Weights != m.registered {
+	if t.Weights != m.registryWeights {
 		// The engine's own statement may be newer than the registry.
 		weights = max(t.Weights, m.Weights)
 	}
-	m.registered, t.Weights = t.Weights, weights
+	m.registryWeights, t.Weights = t.Weights, weights
 	if m.Weights != weights {
 		m.parts = make(map[uint32]float64)
 	}
@@ -218,58 +218,58 @@
 // Choose returns the target with the least expected time to the first byte,
 // or nil if there is none. The second result says how many targets the service
 // has at all.
-func (p *Placer) Choose(want Want) (*Choice, int) {
+func (p *Placer) Choose(req Request) (*Choice, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.services[want.Service]
+	s := p.services[req.Service]
 	if s == nil {
 		return nil, 0
 	}
 	now := p.Clock()
-	best := p.pick(s, &want, now, false)
+	best := p.cheapest(s, &req, now, false)
 	if best == nil {
-		best = p.pick(s, &want, now, true)
+		best = p.cheapest(s, &req, now, true)
 	}
 	if best != nil {
-		p.take(best, &want, now)
+		p.recordChoice(best, &req, now)
 	}
 	return best, len(s.members)
 }
 
-// pick finds the best member; desperate also considers paused ones.
-func (p *Placer) pick(s *service, want *Want, now time.Time, desperate bool) *Choice {
-	home := homeOf(s, want)
+// cheapest finds the best member; desperate also considers paused ones.
+func (p *Placer) cheapest(s *service, req *Request, now time.Time, includeDown bool) *Choice {
+	home := homeFor(s, req)
 	var best *Choice
 	bestCost, bestLoad := math.Inf(1), 0.0
 	for _, m := range s.members {
-		if !usable(m, want, desperate) {
+		if !eligible(m, req, includeDown) {
 			continue
 		}
-		c := p.assess(s, m, home, want, now)
-		cost := p.roundTrip(m) + c.prefill + m.wait(now) + m.backlog(now) + m.failed(now)*failureMS
-		if want.Prefer > m.Weights && m.Weights > 0 {
-			cost += staleMS
+		c := p.evaluate(s, m, home, req, now)
+		cost := p.roundTripMS(m) + c.workMS + m.currentWait(now) + m.currentBacklog(now) + m.currentFailureRate(now)*failurePenaltyMS
+		if req.Weights > m.Weights && m.Weights > 0 {
+			cost += staleWeightsPenaltyMS
 		}
-		c.Expected = time.Duration((cost - m.failed(now)*failureMS) * float64(time.Millisecond))
+		c.Expected = time.Duration((cost - m.currentFailureRate(now)*failurePenaltyMS) * float64(time.Millisecond))
 		if c.Home {
-			cost -= homePart * float64(total(want.shared())) / prefillRate
+			cost -= homeDiscount * float64(totalTokens(req.sharedParts())) / prefillTokensPerMS
 		}
-		load := float64(m.inflight)*slotMS + rand.Float64()
-		if cost < bestCost-tieMS || cost < bestCost+tieMS && load < bestLoad {
+		load := float64(m.inflight)*inflightPenaltyMS + rand.Float64()
+		if cost < bestCost-tieThresholdMS || cost < bestCost+tieThresholdMS && load < bestLoad {
 			best, bestCost, bestLoad = c, cost, load
 		}
 	}
 	return best
 }
 
-// assess returns m as a choice with the work that the prompt means there.
-func (p *Placer) assess(s *service, m, home *member, want *Want, now time.Time) *Choice {
-	cached := m.cached(want)
+// evaluate returns m as a choice with the work that the prompt means there.
+func (p *Placer) evaluate(s *service, m, home *member, req *Request, now time.Time) *Choice {
+	cached := m.cachedTokens(req)
 	c := &Choice{Target: m.Target, CachedTokens: cached, Home: m == home, member: m}
-	fetched, fetch := p.fetch(c, s, want, now)
-	all := total(want.Parts)
-	c.inserted = float64(all - cached)
-	c.prefill = prefillMS(all-cached-fetched, cached+fetched) + fetch
+	fetched, fetch := p.planTransfers(c, s, req, now)
+	all := totalTokens(req.Parts)
+	c.insertedTokens = float64(all - cached)
+	c.workMS = prefillMS(all-cached-fetched, cached+fetched) + fetch
 	return c
 }
 
@@ -277,55 +277,55 @@
 // after those that are cached.
 func prefillMS(fresh, cached int) float64 {
 	if fresh <= 0 {
-		return stepMS
+		return prefillStepMS
 	}
-	chunks := float64((fresh + chunkTokens - 1) / chunkTokens)
+	chunks := float64((fresh + prefillChunkTokens - 1) / prefillChunkTokens)
 	pairs := float64(fresh) * (float64(cached) + float64(fresh)/2)
-	return float64(fresh)/prefillRate + chunks*stepMS + pairs*pairMS
+	return float64(fresh)/prefillTokensPerMS + chunks*prefillStepMS + pairs*attentionPairMS
 }
 
-// source returns the member that holds the most of the prompt beyond what m
+// fetchSource returns the member that holds the most of the prompt beyond what m
 // holds, with the same weights; nil if that is too little.
-func (m *member) source(s *service, want *Want, cached int) *member {
-	if len(want.Parts) == 0 || m.Weights == 0 {
+func (m *member) fetchSource(s *service, req *Request, cached int) *member {
+	if len(req.Parts) == 0 || m.Weights == 0 {
 		return nil
 	}
 	var best *member
 	bestGain := 0.0
 	for _, other := range s.members {
-		if other == m || other.Weights != m.Weights || other.Gone || other.paused {
+		if other == m || other.Weights != m.Weights || other.Gone || other.down {
 			continue
 		}
-		more := other.cached(want) - cached
-		if more < minFetch {
+		more := other.cachedTokens(req) - cached
+		if more < minFetchTokens {
 			continue
 		}
-		if gain := float64(more) * (2/prefillRate - perToken(m, other)); gain > bestGain {
+		if gain := float64(more) * (2/prefillTokensPerMS - fetchMSPerToken(m, other)); gain > bestGain {
 			best, bestGain = other, gain
 		}
 	}
 	return best
 }
 
-func perToken(to, from *member) float64 {
+func fetchMSPerToken(to, from *member) float64 {
 	switch {
 	case to.Zone == from.Zone:
-		return fetchSameZone
+		return fetchSameZoneMS
 	case to.Region == from.Region:
-		return fetchOtherZone
+		return fetchCrossZoneMS
 	}
-	return fetchOtherRegion
+	return fetchCrossRegionMS
 }
 
-// staleMS is the penalty of an engine that still runs older weights. A fifth
+// staleWeightsPenaltyMS is the penalty of an engine that still runs older weights. A fifth
 // of the worth of a request is lost there, as with a wait past the objective.
-const staleMS = 120.0
+const staleWeightsPenaltyMS = 120.0
 
-func usable(m *member, want *Want, desperate bool) bool {
-	if m.Closed || m.paused && !desperate {
+func eligible(m *member, req *Request, includeDown bool) bool {
+	if m.Closed || m.down && !includeDown {
 		return false
 	}
-	for _, id := range want.Exclude {
+	for _, id := range req.Exclude {
 		if id == m.ID {
 			return false
 		}
@@ -333,10 +333,10 @@
 	return true
 }
 
-func (p *Placer) roundTrip(m *member) float64 {
-	rtt := sameRegion
+func (p *Placer) roundTripMS(m *member) float64 {
+	rtt := sameRegionRTT
 	if m.Region != p.Region {
-		rtt = otherRegion
+		rtt = crossRegionRTT
 	}
 	cost := float64(rtt) / float64(time.Millisecond)
 	if m.Zone != p.Zone {
@@ -345,7 +345,7 @@
 	return cost
 }
 
-func total(parts []Part) int {
+func totalTokens(parts []Part) int {
 	sum := 0
 	for _, part := range parts {
 		sum += part.Tokens
@@ -353,23 +353,23 @@
 	return sum
 }
 
-func (p *Placer) take(c *Choice, want *Want, now time.Time) {
-	c.sent = now
+func (p *Placer) recordChoice(c *Choice, req *Request, now time.Time) {
+	c.sentAt = now
 	m := c.member
-	c.bias = m.wait(now)
+	c.includedWaitMS = m.currentWait(now)
 	m.inflight++
-	m.load(now, c.prefill)
-	m.inserted += c.inserted
-	for _, part := range want.Parts {
-		m.parts[uint32(part.ID)] = m.inserted
+	m.addBacklog(now, c.workMS)
+	m.insertedTokens += c.insertedTokens
+	for _, part := range req.Parts {
+		m.parts[uint32(part.ID)] = m.insertedTokens
 	}
-	if c.Save != "" {
-		p.saved(now, m, hashes(want.shared()), c.inserted)
+	if c.SaveTo != "" {
+		p.recordSave(now, m, partHashes(req.sharedParts()), c.insertedTokens)
 	}
-	if len(want.Parts) > 0 {
-		p.announce(c, want.shared())
+	if len(req.Parts) > 0 {
+		p.announceChoice(c, req.sharedParts())
 	}
-	if len(m.parts) > maxParts {
-		m.forget()
+	if len(m.parts) > maxMemberParts {
+		m.evictParts()
 	}
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// fleetClock is a clock that tests move.
-type fleetClock struct{ now time.Time }
+// fakeClock is a clock that tests move.
+type fakeClock struct{ now time.Time }
 
-func newFleetClock() *fleetClock { return &fleetClock{time.Unix(1000, 0)} }
+func newFakeClock() *fakeClock { return &fakeClock{time.Unix(1000, 0)} }
 
-func (c *fleetClock) time() time.Time { return c.now }
+func (c *fakeClock) read() time.Time { return c.now }
 
-func (c *fleetClock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *fakeClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-func engines(n int, weights uint64) map[string][]Target {
+func testEngines(n int, weights uint64) map[string][]Target {
 	var list []Target
 	for i := range n {
 		list = append(list, Target{
@@ -26,24 +26,24 @@
 	return map[string][]Target{"model": list}
 }
 
-func newTestPlacer(c *fleetClock, n int) *Placer {
-	p := New("a", "r", c.time)
-	p.Update(engines(n, 1))
+func newTestPlacer(c *fakeClock, n int) *Placer {
+	p := New("a", "r", c.read)
+	p.Update(testEngines(n, 1))
 	return p
 }
 
-// prompt has a first part that many subjects share, the part of a subject and
+// sharedPrompt has a first part that many subjects share, the part of a subject and
 // an own part.
-func prompt(first, subject, own uint64) Want {
-	return Want{Service: "model", Own: 1, Parts: []Part{{1000 + first, 2500}, {2000 + subject, 3800}, {900_000 + own, 2900}}}
+func sharedPrompt(first, subject, own uint64) Request {
+	return Request{Service: "model", UniqueParts: 1, Parts: []Part{{1000 + first, 2500}, {2000 + subject, 3800}, {900_000 + own, 2900}}}
 }
 
-func short(own uint64) Want {
-	return Want{Service: "model", Own: 1, Parts: []Part{{500, 120}, {500_000 + own, 600}}}
+func shortPrompt(own uint64) Request {
+	return Request{Service: "model", UniqueParts: 1, Parts: []Part{{500, 120}, {500_000 + own, 600}}}
 }
 
-// exchange tells fronts what the others have sent.
-func exchange(fronts []*Placer) {
+// exchangeHints tells fronts what the others have sent.
+func exchangeHints(fronts []*Placer) {
 	for i, from := range fronts {
 		for _, packet := range from.TakeSent() {
 			for j, to := range fronts {
@@ -55,9 +55,9 @@
 	}
 }
 
-func choose(t *testing.T, p *Placer, want Want) *Choice {
+func mustChoose(t *testing.T, p *Placer, req Request) *Choice {
 	t.Helper()
-	c, _ := p.Choose(want)
+	c, _ := p.Choose(req)
 	if c == nil {
 		t.Fatal("no engine was chosen")
 	}
@@ -67,18 +67,18 @@
 // Pattern hot_key: guards against one engine that gets every request about a
 // subject and makes them wait while others are idle.
 func TestHotSubjectSpreadsOverEnginesThatFetchIt(t *testing.T) {
-	clock := newFleetClock()
+	clock := newFakeClock()
 	p := newTestPlacer(clock, 9)
 	used := make(map[string]int)
 	slowest, fetched := time.Duration(0), 0
 	for i := range uint64(60) {
-		c := choose(t, p, prompt(1, 7, i))
+		c := mustChoose(t, p, sharedPrompt(1, 7, i))
 		used[c.Target.ID]++
 		slowest = max(slowest, c.Expected)
-		if c.Source != nil {
+		if c.FetchFrom != nil {
 			fetched++
 		}
-		clock.pass(25 * time.Millisecond)
+		clock.advance(25 * time.Millisecond)
 	}
 	if len(used) < 3 {
 		t.Errorf("60 requests in 1.5 s used only the engines %v", used)
@@ -94,36 +94,36 @@
 // Pattern of many subjects at a low rate: guards against parts that are cached
 // on many engines and push each other out.
 func TestRequestsOfASubjectStayTogetherWhileEnginesAreIdle(t *testing.T) {
-	clock := newFleetClock()
+	clock := newFakeClock()
 	p := newTestPlacer(clock, 9)
 	where := make(map[uint64]string)
 	for i := range uint64(90) {
 		subject := i % 30
-		c := choose(t, p, prompt(subject%4, subject, i))
+		c := mustChoose(t, p, sharedPrompt(subject%4, subject, i))
 		if before, ok := where[subject]; ok && before != c.Target.ID {
 			t.Fatalf("subject %d moved from %s to %s", subject, before, c.Target.ID)
 		}
 		where[subject] = c.Target.ID
-		p.First(c)
+		p.RecordFirstByte(c)
 		p.Done(c, Answered)
-		clock.pass(time.Second)
+		clock.advance(time.Second)
 	}
 }
 
 // Pattern burst: guards against fronts that all choose the same engine because
 // each knows only its own requests.
 func TestFrontsSpreadABurstTogether(t *testing.T) {
-	clock := newFleetClock()
+	clock := newFakeClock()
 	var fronts []*Placer
 	for range 8 {
 		fronts = append(fronts, newTestPlacer(clock, 9))
 	}
 	used := make(map[string]int)
 	for i := range uint64(90) {
-		c := choose(t, fronts[i%8], prompt(i%4, 1000+i, i))
+		c := mustChoose(t, fronts[i%8], sharedPrompt(i%4, 1000+i, i))
 		used[c.Target.ID]++
-		clock.pass(10 * time.Millisecond)
-		exchange(fronts)
+		clock.advance(10 * time.Millisecond)
+		exchangeHints(fronts)
 	}
 	for id, n := range used {
 		if n > 20 {
@@ -138,14 +138,14 @@
 // Pattern of short and long prompts: guards against short requests that wait
 // behind the prompts of long ones.
 func TestShortRequestsAvoidEnginesThatReadLongPrompts(t *testing.T) {
-	clock := newFleetClock()
+	clock := newFakeClock()
 	p := newTestPlacer(clock, 3)
 	busy := map[string]bool{}
 	for i := range uint64(2) {
-		busy[choose(t, p, prompt(1, i, i)).Target.ID] = true
+		busy[mustChoose(t, p, sharedPrompt(1, i, i)).Target.ID] = true
 	}
 	for i := range uint64(10) {
-		if c := choose(t, p, short(i)); busy[c.Target.ID] && len(busy) < 3 {
+		if c := mustChoose(t, p, shortPrompt(i)); busy[c.Target.ID] && len(busy) < 3 {
 			t.Fatalf("short request %d goes to an engine that reads a long prompt", i)
 		}
 	}
@@ -153,16 +153,16 @@
 
 // Pattern srv_crash dark: guards against every front losing a request to a
 // silent engine, and against one that never takes it back.
-func TestLostEngineIsToldAndUsedAgainOnceReached(t *testing.T) {
-	clock := newFleetClock()
+func TestUnreachableEngineIsAnnouncedAndUsedAgainOnceReachable(t *testing.T) {
+	clock := newFakeClock()
 	fronts := []*Placer{newTestPlacer(clock, 2), newTestPlacer(clock, 2)}
-	c := choose(t, fronts[0], short(1))
+	c := mustChoose(t, fronts[0], shortPrompt(1))
 	lost := c.Target.ID
 	fronts[0].Done(c, Unreachable)
-	exchange(fronts)
+	exchangeHints(fronts)
 	for i, p := range fronts {
 		for n := range uint64(5) {
-			if got := choose(t, p, short(10+n)); got.Target.ID == lost {
+			if got := mustChoose(t, p, shortPrompt(10+n)); got.Target.ID == lost {
 				t.Fatalf("front %d sends to the lost engine", i)
 			}
 		}
@@ -174,10 +174,10 @@
 	if len(fronts[1].Paused()) != 0 {
 		t.Error("engine that was reached is still avoided")
 	}
-	clock.pass(time.Minute)
+	clock.advance(time.Minute)
 	seen := false
 	for n := range uint64(20) {
-		seen = seen || choose(t, fronts[1], short(50+n)).Target.ID == lost
+		seen = seen || mustChoose(t, fronts[1], shortPrompt(50+n)).Target.ID == lost
 	}
 	if !seen {
 		t.Error("engine that was reached gets no requests")
@@ -186,17 +186,17 @@
 
 // Guards against prompts that are expected to be cached after their parts have
 // yielded: 9,000 tokens were read where 2,900 were expected.
-func TestPartsYieldToWhatComesAfterThem(t *testing.T) {
-	clock := newFleetClock()
+func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
+	clock := newFakeClock()
 	p := newTestPlacer(clock, 1)
-	choose(t, p, prompt(1, 1, 1))
-	if c := choose(t, p, prompt(1, 1, 2)); c.CachedTokens != 6300 {
+	mustChoose(t, p, sharedPrompt(1, 1, 1))
+	if c := mustChoose(t, p, sharedPrompt(1, 1, 2)); c.CachedTokens != 6300 {
 		t.Errorf("%d tokens are expected in the cache, want 6300", c.CachedTokens)
 	}
 	for i := range uint64(12) {
-		choose(t, p, prompt(10+i, 100+i, 100+i))
+		mustChoose(t, p, sharedPrompt(10+i, 100+i, 100+i))
 	}
-	if c := choose(t, p, prompt(1, 1, 3)); c.CachedTokens != 0 {
+	if c := mustChoose(t, p, sharedPrompt(1, 1, 3)); c.CachedTokens != 0 {
 		t.Errorf("%d tokens are expected in the cache after 110,000 others", c.CachedTokens)
 	}
 }
@@ -204,27 +204,27 @@
 // Guards against memory of other weights: an engine must fetch only from one
 // that runs the same version, and new weights empty a cache.
 func TestNothingIsFetchedFromOtherWeights(t *testing.T) {
-	clock := newFleetClock()
+	clock := newFakeClock()
 	p := newTestPlacer(clock, 2)
-	first := choose(t, p, prompt(1, 1, 1))
-	targets := engines(2, 1)
+	first := mustChoose(t, p, sharedPrompt(1, 1, 1))
+	targets := testEngines(2, 1)
 	for i := range targets["model"] {
 		if targets["model"][i].ID != first.Target.ID {
 			targets["model"][i].Weights = 2
 		}
 	}
 	p.Update(targets)
-	want := prompt(1, 1, 2)
-	want.Exclude = []string{first.Target.ID}
-	if c := choose(t, p, want); c.Source != nil || c.CachedTokens != 0 {
-		t.Errorf("engine with weights 2 is to use %d tokens and fetch from %v", c.CachedTokens, c.Source)
+	req := sharedPrompt(1, 1, 2)
+	req.Exclude = []string{first.Target.ID}
+	if c := mustChoose(t, p, req); c.FetchFrom != nil || c.CachedTokens != 0 {
+		t.Errorf("engine with weights 2 is to use %d tokens and fetch from %v", c.CachedTokens, c.FetchFrom)
 	}
 }
 
 // Guards against a panic on a datagram that is cut short or made up.
 func TestMalformedPacketsAreIgnored(t *testing.T) {
-	p := newTestPlacer(newFleetClock(), 2)
-	choose(t, p, prompt(1, 1, 1))
+	p := newTestPlacer(newFakeClock(), 2)
+	mustChoose(t, p, sharedPrompt(1, 1, 1))
 	packet := p.TakeSent()[0]
 	for n := range len(packet) {
 		p.Hint(packet[:n])
@@ -234,20 +234,20 @@
 
 // Guards against requests to targets that are leaving or have moved.
 func TestClosedTargetsGetNoRequests(t *testing.T) {
-	p := newTestPlacer(newFleetClock(), 2)
-	c := choose(t, p, short(1))
-	p.Done(c, Moved)
+	p := newTestPlacer(newFakeClock(), 2)
+	c := mustChoose(t, p, shortPrompt(1))
+	p.Done(c, Misdirected)
 	for n := range uint64(5) {
-		if got := choose(t, p, short(n)); got.Target.ID == c.Target.ID {
+		if got := mustChoose(t, p, shortPrompt(n)); got.Target.ID == c.Target.ID {
 			t.Fatal("request goes to an address that another target has")
 		}
 	}
-	targets := engines(2, 1)
+	targets := testEngines(2, 1)
 	for i := range targets["model"] {
 		targets["model"][i].Closed = true
 	}
 	p.Update(targets)
-	if got, known := p.Choose(short(9)); got != nil || known != 2 {
+	if got, known := p.Choose(shortPrompt(9)); got != nil || known != 2 {
 		t.Errorf("chose %v of %d closed targets", got, known)
 	}
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -24,26 +24,26 @@
 type store struct {
 	Store
 	hash uint64
-	// inserted is the number of tokens saved so far.
-	inserted float64
-	parts    map[uint64]savedPart
+	// insertedTokens is the number of tokens saved so far.
+	insertedTokens float64
+	parts          map[uint64]savedPart
 }
 
 // savedPart is the last save of a part.
 type savedPart struct {
-	// inserted is the number of tokens that the store had taken by then.
-	inserted float64
-	at       time.Time
+	// insertedTokens is the number of tokens that the store had taken by then.
+	insertedTokens float64
+	savedAt        time.Time
 }
 
 const (
 	// maxStoreParts bounds the parts remembered of one store.
 	maxStoreParts = 1 << 16
-	// saveAgain is the age from which a part is saved again: a store that
+	// resaveAge is the age from which a part is saved again: a store that
 	// restarts is empty and tells nobody.
-	saveAgain = 30 * time.Second
-	// storeOtherZone is how much longer a transfer between zones takes.
-	storeOtherZone = 2
+	resaveAge = 30 * time.Second
+	// crossZoneFactor is how much longer a transfer between zones takes.
+	crossZoneFactor = 2
 )
 
 // UpdateStores replaces the list of stores that can be reached. What is known
@@ -67,17 +67,17 @@
 	}
 }
 
-// storeOf returns the store of a prompt for an engine: one of the engine's
+// storeFor returns the store of a prompt for an engine: one of the engine's
 // region, because a transfer between regions takes longer than to read the
 // part again. All fronts agree on it by rendezvous hashing.
-func (p *Placer) storeOf(m *member, last uint32) *store {
+func (p *Placer) storeFor(m *member, last uint32) *store {
 	var best *store
 	weight := uint64(0)
 	for _, s := range p.stores {
 		if s.Region != m.Region {
 			continue
 		}
-		if w := mix(uint64(last) ^ s.hash); best == nil || w > weight {
+		if w := mix64(uint64(last) ^ s.hash); best == nil || w > weight {
 			best, weight = s, w
 		}
 	}
@@ -85,14 +85,14 @@
 }
 
 // storeKey names a part that was made with some weights.
-func storeKey(part uint32, weights uint64) uint64 { return mix(uint64(part) ^ mix(weights)) }
+func storeKey(part uint32, weights uint64) uint64 { return mix64(uint64(part) ^ mix64(weights)) }
 
-// held returns the leading tokens of the parts that the store holds.
-func (s *store) held(now time.Time, parts []Part, weights uint64) int {
+// heldTokens returns the leading tokens of the parts that the store holds.
+func (s *store) heldTokens(now time.Time, parts []Part, weights uint64) int {
 	sum := 0
 	for _, part := range parts {
 		saved, ok := s.parts[storeKey(uint32(part.ID), weights)]
-		if !ok || s.dropped(now, saved) {
+		if !ok || s.mayBeEvicted(now, saved) {
 			break
 		}
 		sum += part.Tokens
@@ -100,26 +100,26 @@
 	return sum
 }
 
-// dropped reports whether a part may have yielded to others.
-func (s *store) dropped(now time.Time, p savedPart) bool {
-	return now.Sub(p.at) > saveAgain || s.inserted-p.inserted > retainedPart*float64(s.Tokens)
+// mayBeEvicted reports whether a part may have yielded to others.
+func (s *store) mayBeEvicted(now time.Time, p savedPart) bool {
+	return now.Sub(p.savedAt) > resaveAge || s.insertedTokens-p.insertedTokens > cacheFraction*float64(s.Tokens)
 }
 
-// save notes that an engine saves the parts of a prompt, of which it reads the
+// recordSave notes that an engine saves the parts of a prompt, of which it reads the
 // number of tokens given.
-func (s *store) save(now time.Time, parts []uint32, weights uint64, read float64) {
-	s.inserted += read
+func (s *store) recordSave(now time.Time, parts []uint32, weights uint64, read float64) {
+	s.insertedTokens += read
 	for _, part := range parts {
-		s.parts[storeKey(part, weights)] = savedPart{s.inserted, now}
+		s.parts[storeKey(part, weights)] = savedPart{s.insertedTokens, now}
 	}
 	if len(s.parts) > maxStoreParts {
-		s.forget(now)
+		s.evictParts(now)
 	}
 }
 
-func (s *store) forget(now time.Time) {
+func (s *store) evictParts(now time.Time) {
 	for key, saved := range s.parts {
-		if s.dropped(now, saved) {
+		if s.mayBeEvicted(now, saved) {
 			delete(s.parts, key)
 		}
 	}
@@ -128,57 +128,57 @@
 	}
 }
 
-// perToken is the time of the transfer of a token to an engine of the region.
-func (s *store) perToken(to *member) float64 {
+// transferMSPerToken is the time of the transfer of a token to an engine of the region.
+func (s *store) transferMSPerToken(to *member) float64 {
 	if s.Zone == to.Zone {
 		return s.TokenMS
 	}
-	return storeOtherZone * s.TokenMS
+	return crossZoneFactor * s.TokenMS
 }
 
-// saved notes that a prompt was sent to an engine that saves what it reads.
-func (p *Placer) saved(now time.Time, m *member, shared []uint32, read float64) {
+// recordSave notes that a prompt was sent to an engine that saves what it reads.
+func (p *Placer) recordSave(now time.Time, m *member, shared []uint32, read float64) {
 	if len(shared) == 0 {
 		return
 	}
-	if s := p.storeOf(m, shared[len(shared)-1]); s != nil {
-		s.save(now, shared, m.Weights, read)
+	if s := p.storeFor(m, shared[len(shared)-1]); s != nil {
+		s.recordSave(now, shared, m.Weights, read)
 	}
 }
 
-// fetch notes in c where the engine should fetch parts from and save them to.
+// planTransfers notes in c where the engine should fetch parts from and save them to.
 // It returns how many tokens the engine fetches and how long that takes.
-func (p *Placer) fetch(c *Choice, s *service, want *Want, now time.Time) (tokens int, took float64) {
+func (p *Placer) planTransfers(c *Choice, s *service, req *Request, now time.Time) (tokens int, took float64) {
 	m, cached := c.member, c.CachedTokens
-	if source := m.source(s, want, cached); source != nil {
-		tokens = source.cached(want) - cached
-		took = fetchSetupMS + float64(tokens)*perToken(m, source)
+	if source := m.fetchSource(s, req, cached); source != nil {
+		tokens = source.cachedTokens(req) - cached
+		took = fetchSetupMS + float64(tokens)*fetchMSPerToken(m, source)
 		target := source.Target
-		c.Source = &target
+		c.FetchFrom = &target
 	}
-	shared := want.shared()
-	size := total(shared)
-	if m.Weights == 0 || size < minFetch {
+	shared := req.sharedParts()
+	size := totalTokens(shared)
+	if m.Weights == 0 || size < minFetchTokens {
 		return tokens, took
 	}
-	store := p.storeOf(m, uint32(shared[len(shared)-1].ID))
+	store := p.storeFor(m, uint32(shared[len(shared)-1].ID))
 	if store == nil {
 		return tokens, took
 	}
-	held := store.held(now, shared, m.Weights)
+	held := store.heldTokens(now, shared, m.Weights)
 	if held < size {
-		c.Save = store.Address
+		c.SaveTo = store.Address
 	}
 	more := held - cached
-	if more >= max(minFetch, tokens) {
-		tokens, took = more, fetchSetupMS+float64(more)*store.perToken(m)
-		c.Source = nil
+	if more >= max(minFetchTokens, tokens) {
+		tokens, took = more, fetchSetupMS+float64(more)*store.transferMSPerToken(m)
+		c.FetchFrom = nil
 	}
-	if c.Source == nil {
+	if c.FetchFrom == nil {
 		// The store is asked also if the engine is expected to hold the parts:
 		// a request that finds nothing there loses a millisecond, but a part
 		// that has yielded unnoticed is not read again.
-		c.Source = &Target{ID: store.Address, Address: store.Address}
+		c.FetchFrom = &Target{ID: store.Address, Address: store.Address}
 	}
 	return tokens, took
 }
