--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -237,7 +237,7 @@
 
 // Guards against a lost idempotent request and against one that is sent to more
 // targets than its route allows.
-func TestIdempotentRequestIsSentAgainWithinItsAttempts(t *testing.T) {
+func TestIdempotentRequestIsRetriedWithinMaxAttempts(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
 	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 2}, broken, second)
@@ -253,7 +253,7 @@
 }
 
 // Guards against a request that is given up although no target has run it.
-func TestRequestThatATargetHasNotRunGoesElsewhere(t *testing.T) {
+func TestRequestNotRunByTargetIsRetriedElsewhere(t *testing.T) {
 	full := newTarget(t, respond("503 Service Unavailable", "Not-Run: 1\r\n", ""))
 	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, full, second)
@@ -352,7 +352,7 @@
 
 // Guards against a resumable stream that ends when its engine dies, and against
 // events that are missing or come twice.
-func TestResumableStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherEngine(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1), eventText(2), "id: 3\nda"))
 	second := newTarget(t, streamResponse(true, eventText(2), eventText(3), eventText(4)))
 	f := newFront(t, gateway.Route{Kind: gateway.RunStream, Resumable: true, MaxAttempts: 2}, dying, second)
--- a/internal/placement/hints.go
+++ b/internal/placement/hints.go
@@ -8,50 +8,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fronts tell each other what they send to which engine: the prompt work and
-// the shared parts. Each front then follows the backlog and the cache of all
-// engines without asking them. Entries are hints: a wrong one costs a few
+// Fronts send each other hints about each request that they place: the engine,
+// its prefill work and the shared parts. So each front tracks the backlog and
+// the cache of all engines without polling them. A wrong hint costs a few
 // milliseconds.
 
 const (
-	// entryHeaderBytes is the engine with its weights as a 32-bit hash, the work in
-	// milliseconds and the tokens brought into memory in blockTokens, both in
-	// 16 bits, and the number of parts, which follow as 32-bit hashes.
+	// entryHeaderBytes is the size of the fixed part of an entry: the 32-bit
+	// hash of the engine and its weights, the prefill work in milliseconds (16
+	// bits), the inserted tokens in units of blockTokens (16 bits) and the
+	// number of parts (8 bits). The 32-bit hashes of the parts follow.
 	entryHeaderBytes = 9
 	blockTokens      = 16
-	// savedFlag in the number of parts says that the engine saves them to the
-	// store of its region.
+	// savedFlag is set in the number of parts if the engine saves the parts to
+	// the store of its region.
 	savedFlag = 0x80
-	// unreachableWork in place of the work says that the engine could not be reached.
+	// unreachableWork replaces the prefill work if the engine could not be
+	// reached.
 	unreachableWork = math.MaxUint16
 	partHashBytes   = 4
-	// maxPacketBytes fits into one datagram on any path.
+	// maxPacketBytes keeps a packet within one unfragmented datagram on any
+	// path.
 	maxPacketBytes = 1200
-	// maxQueuedPackets bounds what waits to be sent.
+	// maxQueuedPackets limits the packets that wait to be sent; further hints
+	// are dropped.
 	maxQueuedPackets = 16
 )
 
-// engineHash names an engine together with its weights, so that entries end
-// with a change of weights.
+// engineHash identifies an engine together with its weights, so that hints
+// about earlier weights match no engine.
 func engineHash(id string, weights uint64) uint32 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], weights)
 	d := xxhash.New()
-	// A hash never fails to take bytes.
+	// Writes to a hash never fail.
 	_, _ = d.WriteString(id)
 	_, _ = d.Write(b[:])
 	return uint32(d.Sum64())
 }
 
-// announceChoice queues an entry for the other fronts.
+// announceChoice queues a hint about a placed request for the other fronts.
 func (p *Placer) announceChoice(c *Choice, shared []Part) {
 	work := uint16(min(max(c.workMS, 0), unreachableWork-1))
 	blocks := uint16(min(max(c.insertedTokens/blockTokens, 0), math.MaxUint16))
 	p.enqueueHint(c.member, work, blocks, shared, c.SaveTo != "")
 }
 
-// announceUnreachable tells the other fronts that an engine could not be reached. Each
-// of them finds out by itself when it can be.
+// announceUnreachable tells the other fronts that an engine could not be
+// reached. Each front finds out by itself when the engine is reachable again.
 func (p *Placer) announceUnreachable(m *member) { p.enqueueHint(m, unreachableWork, 0, nil, false) }
 
 func (p *Placer) enqueueHint(m *member, work, blocks uint16, shared []Part, saved bool) {
@@ -85,10 +89,12 @@
 	}
 }
 
-// Announcements signals that TakeSent has something to return.
+// Announcements returns a channel that signals that TakeSent has packets to
+// return.
 func (p *Placer) Announcements() <-chan struct{} { return p.hintsReady }
 
-// TakeSent returns packets for the other fronts.
+// TakeSent returns the queued packets for the other fronts and empties the
+// queue.
 func (p *Placer) TakeSent() [][]byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +103,8 @@
 	return packets
 }
 
-// Hint takes a packet of another front. The rest of a malformed one is ignored.
+// Hint applies a packet from another front. A truncated entry and all that
+// follows it are ignored.
 func (p *Placer) Hint(packet []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,12 +128,12 @@
 		return
 	}
 	m.addBacklog(now, float64(work))
-	read := blockTokens * float64(binary.LittleEndian.Uint16(entry[6:]))
+	prefilled := blockTokens * float64(binary.LittleEndian.Uint16(entry[6:]))
 	parts := decodeParts(entry[entryHeaderBytes:])
-	m.insertedTokens += read
+	m.insertedTokens += prefilled
 	m.recordParts(parts)
 	if entry[entryHeaderBytes-1]&savedFlag != 0 {
-		p.recordSave(now, m, parts, read)
+		p.recordSave(now, m, parts, prefilled)
 	}
 }
 
@@ -138,7 +145,7 @@
 	return parts
 }
 
-// partHashes returns what entries call parts.
+// partHashes returns the 32-bit hashes by which entries identify parts.
 func partHashes(parts []Part) []uint32 {
 	list := make([]uint32, len(parts))
 	for i, part := range parts {
@@ -156,7 +163,7 @@
 	}
 }
 
-// rebuildEngineIndex finds engines by what entries call them.
+// rebuildEngineIndex rebuilds the map from engine hashes to members.
 func (p *Placer) rebuildEngineIndex() {
 	p.enginesByHash = make(map[uint32]*member)
 	for _, s := range p.services {
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// homeFor returns the member at which all VMs expect the last shared part, by
-// rendezvous hashing, so that they agree without messages. Prompts with the
-// same first part share a few homes, so that the first part takes memory on
-// these only.
+// homeFor returns the home of a request: the member that all VMs prefer for its
+// shared parts, so that these are cached there. Rendezvous hashing of the last
+// shared part lets all VMs choose the same member without exchanging messages.
+// Prompts with the same first part have their homes within a small group, so
+// that the first part occupies memory only there.
 func homeFor(s *service, req *Request) *member {
 	shared := len(req.Parts) - req.UniqueParts
 	if shared <= 0 {
@@ -26,19 +27,20 @@
 	return home
 }
 
-// canBeHome reports whether a member can be a home: engines with older weights lose
-// what they hold soon.
+// canBeHome reports whether the member is a candidate for the home of a
+// request. Engines with older weights are not, because their cache is lost with
+// the coming weight update.
 func (m *member) canBeHome(r *Request) bool { return !m.Closed && !m.down && m.Weights >= r.Weights }
 
-// groupPart is the part of a service's engines that are homes of the prompts
-// with one first part, and groupMin the least number.
+// The homes of prompts with the same first part are 1/groupDivisor of the
+// service's engines, but at least minGroupSize.
 const (
 	groupDivisor = 3
 	minGroupSize = 3
 )
 
-// minGroupWeight returns the rendezvous weight that the homes of a first part reach
-// at least.
+// minGroupWeight returns the lowest rendezvous weight of the members that can
+// be homes of prompts with the given first part.
 func minGroupWeight(s *service, req *Request, first uint64) uint64 {
 	weights := make([]uint64, 0, len(s.members))
 	for _, m := range s.members {
--- a/internal/placement/member.go
+++ b/internal/placement/member.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// cachedTokens returns the leading tokens believed to be cached at m.
+// cachedTokens returns the number of leading prompt tokens believed to be in
+// the member's cache.
 func (m *member) cachedTokens(req *Request) int {
 	sum := 0
 	for _, part := range req.Parts {
@@ -18,7 +19,8 @@
 	return sum
 }
 
-// cacheBudget is how many tokens can come in until a part has to yield.
+// cacheBudget returns how many tokens can be inserted after the last use of a
+// part before the part is evicted.
 func (m *member) cacheBudget() float64 {
 	if m.CacheTokens > 0 {
 		return cacheFraction * float64(m.CacheTokens)
@@ -26,27 +28,29 @@
 	return cacheFraction * defaultCacheTokens
 }
 
-// prefillShare is the part of its time that a busy engine spends on prompts; the
-// rest goes into the tokens that it generates meanwhile.
+// prefillShare is the fraction of its time that a busy engine spends on
+// prefill. It spends the rest on decoding.
 const prefillShare = 0.85
 
-// currentBacklog is the prompt work that the engine still has to do, in milliseconds
-// of waiting.
+// currentBacklog returns the time in milliseconds that the engine still needs
+// for the prompts sent to it.
 func (m *member) currentBacklog(now time.Time) float64 {
 	passed := float64(now.Sub(m.backlogAt)) / float64(time.Millisecond)
 	return max(0, m.backlogMS-passed)
 }
 
-// addBacklog adds prompt work.
+// addBacklog adds prefill work to the backlog. A negative amount removes work.
 func (m *member) addBacklog(now time.Time, workMS float64) {
 	m.backlogMS = max(0, m.currentBacklog(now)+workMS/prefillShare)
 	m.backlogAt = now
 }
 
+// currentWait returns the observed wait, decayed to now.
 func (m *member) currentWait(now time.Time) float64 {
 	return decay(m.waitMS, now.Sub(m.waitAt), waitHalfLife)
 }
 
+// currentFailureRate returns the failure rate, decayed to now.
 func (m *member) currentFailureRate(now time.Time) float64 {
 	return decay(m.failureRate, now.Sub(m.failureRateAt), failureHalfLife)
 }
@@ -58,9 +62,11 @@
 	return value * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// maxMemberParts bounds the parts remembered of one target.
+// maxMemberParts limits the parts tracked for one target.
 const maxMemberParts = 4096
 
+// evictParts removes the parts that the engine has evicted, or all of them if
+// too many are left.
 func (m *member) evictParts() {
 	for id, used := range m.parts {
 		if m.insertedTokens-used > m.cacheBudget() {
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RecordFirstByte reports the first byte of an answer.
+// RecordFirstByte records the time to the first byte of a response.
 func (p *Placer) RecordFirstByte(c *Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -13,36 +13,38 @@
 	m := c.member
 	now := p.Clock()
 	extra := max(0, float64(now.Sub(c.sentAt)-c.Expected)/float64(time.Millisecond)+c.includedWaitMS)
-	// A mean of the decayed wait and the new one follows a change quickly and
-	// still smooths single slow answers.
+	// The mean of the decayed wait and the new one follows a change quickly and
+	// still smooths single slow responses.
 	m.waitMS = (m.currentWait(now) + extra) / 2
 	m.waitAt = now
 	m.down = false
 }
 
-// Result is what became of a request at a target.
+// Result is the outcome of a request at a target.
 type Result uint8
 
-// The results of a request at a target.
 const (
-	// Answered is a whole answer.
+	// Answered means that the target sent a complete response.
 	Answered Result = iota
-	// Failed is an answer of failure, a broken answer or silence.
+	// Failed means an error response, a truncated response or a timeout.
 	Failed
-	// Unreachable means that no connection could be made or it broke at once.
+	// Unreachable means that no connection could be opened, or that it broke
+	// before the request was sent.
 	Unreachable
-	// Rejected means that the target has refused the request without running it.
+	// Rejected means that the target refused the request without running it.
 	Rejected
-	// Misdirected means that another target has the address.
+	// Misdirected means that the address now belongs to another target.
 	Misdirected
-	// Canceled says nothing about the target: the caller has left.
+	// Canceled says nothing about the target: the request ended for another
+	// reason, for example because the caller disconnected.
 	Canceled
 )
 
-// rejectedWaitMS is the wait assumed at a target that refuses requests.
+// rejectedWaitMS is the least wait assumed at a target that has just rejected a
+// request.
 const rejectedWaitMS = 400.0
 
-// Done reports the end of a request.
+// Done records the end of a request.
 func (p *Placer) Done(c *Choice, result Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +63,7 @@
 	case Rejected:
 		m.waitMS, m.waitAt = max(m.currentWait(now), rejectedWaitMS), now
 	case Misdirected:
-		// Until the registry knows of it.
+		// Exclude the target until the next registry update.
 		m.Closed, m.Gone = true, true
 	case Unreachable:
 		m.recordOutcome(now, 1)
@@ -70,8 +72,7 @@
 	}
 }
 
-// Paused returns the targets that could not be reached and have not been seen
-// since.
+// Paused returns the open targets that are marked as down.
 func (p *Placer) Paused() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +87,7 @@
 	return list
 }
 
-// Reachable reports that a connection to a target could be made.
+// Reachable records that a connection to the target could be opened.
 func (p *Placer) Reachable(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// failureSmoothing is the weight of one request in the share of failures.
+// failureSmoothing is the weight of one request in the failure rate.
 const failureSmoothing = 0.2
 
 func (m *member) recordOutcome(now time.Time, failed float64) {
@@ -107,7 +108,6 @@
 	m.failureRateAt = now
 }
 
-// Targets returns all targets.
 func (p *Placer) Targets() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +120,8 @@
 	return list
 }
 
-// SetWeights notes the version that a target has stated, which the registry
-// does not know yet.
+// SetWeights records the weight version that a target has reported and that the
+// registry does not have yet. The cache of other weights is discarded.
 func (p *Placer) SetWeights(c *Choice, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -1,6 +1,6 @@
-// Package placement chooses the target of a request from what one front VM
-// knows: the registry, the parts of prompts that it has sent where, and how the
-// targets have answered. The package does no I/O.
+// Package placement chooses the target of a request from the local knowledge of
+// one front VM: the registry, the parts of prompts placed at each engine, and
+// the outcomes of earlier requests. The package does no I/O.
 package placement
 
 import (
@@ -13,64 +13,68 @@
 )
 
 const (
-	// cacheFraction is the part of an engine's memory that holds cached parts;
-	// requests that run take the rest.
+	// cacheFraction is the fraction of an engine's memory that holds cached
+	// parts; running requests use the rest.
 	cacheFraction = 0.8
-	// defaultCacheTokens applies to engines whose memory is not known, in tokens.
+	// defaultCacheTokens is the memory, in tokens, assumed for engines whose
+	// memory is not known.
 	defaultCacheTokens = 80_000
-	// waitHalfLife is how fast an observed wait at a target is forgotten.
+	// waitHalfLife is the half-life of an observed wait at a target.
 	waitHalfLife = 700 * time.Millisecond
-	// failureHalfLife is how fast the failures of a target are forgotten.
+	// failureHalfLife is the half-life of a target's failure rate.
 	failureHalfLife = 4 * time.Second
-	// prefillTokensPerMS is the prompt tokens that an engine reads in a millisecond.
-	// It reads chunkTokens in a step, each of which takes stepMS more, and
-	// pairMS for each token and token before it; see the sheet of the engines.
+	// prefillTokensPerMS is the number of prompt tokens that an engine prefills
+	// per millisecond. Prefill proceeds in steps of prefillChunkTokens. Each
+	// step adds prefillStepMS, and each pair of a token and an earlier token
+	// adds attentionPairMS. The figures are from the data sheet of the engines.
 	prefillTokensPerMS = 41.4
 	prefillChunkTokens = 1024
 	prefillStepMS      = 4.63
 	attentionPairMS    = 0.59e-6
-	// sameRegionRTT and otherRegion are the round trips to a target.
+	// sameRegionRTT and crossRegionRTT are the round-trip times to a target.
 	sameRegionRTT  = 1 * time.Millisecond
 	crossRegionRTT = 60 * time.Millisecond
-	// Fetching a token of cached memory from another engine takes this many
-	// milliseconds, by where it is; see the rates of the links.
+	// Milliseconds per token to fetch cached tokens from another engine,
+	// derived from the link rates.
 	fetchSameZoneMS    = 0.002
 	fetchCrossZoneMS   = 0.004
 	fetchCrossRegionMS = 0.02
-	// fetchSetupMS is the fixed time of a fetch.
+	// fetchSetupMS is the fixed cost of a fetch.
 	fetchSetupMS = 2.0
-	// minFetchTokens is the number of tokens from which a fetch is worth its set-up.
+	// minFetchTokens is the number of tokens from which a fetch is worth its
+	// fixed cost.
 	minFetchTokens = 128
-	// tieThresholdMS is the difference in milliseconds within which targets count as
-	// equal and the less loaded one is taken.
+	// tieThresholdMS is the cost difference in milliseconds below which targets
+	// count as equal; the less loaded one is then chosen.
 	tieThresholdMS = 3.0
-	// homeDiscount is the preference for the home of a prompt, as a part of the
-	// time that its shared parts take to read. It keeps the prompts of a
-	// subject together, so that their parts are cached once rather than on
-	// many engines.
+	// homeDiscount is the preference for the home of a prompt, as a fraction of
+	// the prefill time of its shared parts. It keeps prompts with the same
+	// shared parts together, so that these are cached once rather than on many
+	// engines.
 	homeDiscount = 0.8
-	// inflightPenaltyMS is what one more request of this VM at a target adds to the
-	// expected wait, in milliseconds.
+	// inflightPenaltyMS is the load that each request of this VM in flight at a
+	// target adds in the choice between targets of equal cost, in milliseconds.
 	inflightPenaltyMS = 2.0
-	// failurePenaltyMS is the penalty of a target that fails every request.
+	// failurePenaltyMS is the penalty for a target that fails every request, in
+	// milliseconds.
 	failurePenaltyMS = 4000.0
 )
 
-// Target is what placement knows of one incarnation.
+// Target is one incarnation of a target, as far as placement needs to know it.
 type Target struct {
 	ID      string
 	Address string
 	Zone    string
 	Region  string
-	// Closed targets get no new requests. Gone ones are about to end.
+	// Closed targets get no new requests. Gone targets are about to terminate.
 	Closed bool
 	Gone   bool
-	// Started is the start of the incarnation: an engine may start again under
-	// its ID.
+	// Started is the start time of the incarnation: an engine may restart under
+	// the same ID.
 	Started int64
-	// Weights is the version of the model that the engine runs.
+	// Weights is the version of the model weights that the engine runs.
 	Weights uint64
-	// CacheTokens is the memory of the engine; 0 if it is not known.
+	// CacheTokens is the engine's memory in tokens; 0 if it is not known.
 	CacheTokens int
 }
 
@@ -80,72 +84,82 @@
 	Tokens int
 }
 
-// Request describes a request to place.
+// Request is a request to be placed.
 type Request struct {
 	Service string
-	// Parts are the parts of the prompt in order; Own is the number of
+	// Parts are the parts of the prompt in order. UniqueParts is the number of
 	// trailing parts that no other request shares.
 	Parts       []Part
 	UniqueParts int
-	// Weights is the version of the weights that engines should run; older
-	// ones come last.
+	// Weights is the version of the model weights that the engine should run.
+	// Engines with older weights get a penalty.
 	Weights uint64
-	// Exclude lists targets that have failed this request.
+	// Exclude lists the IDs of targets that have failed this request.
 	Exclude []string
 }
 
 // sharedParts returns the parts that other requests may share.
-func (w *Request) sharedParts() []Part { return w.Parts[:max(len(w.Parts)-w.UniqueParts, 0)] }
+func (r *Request) sharedParts() []Part { return r.Parts[:max(len(r.Parts)-r.UniqueParts, 0)] }
 
-// Choice is a chosen target. Exactly one of its outcomes must be reported.
+// Choice is the chosen target of a request. The caller must call Done exactly
+// once.
 type Choice struct {
 	Target Target
-	// CachedTokens is the part of the prompt believed to be cached.
+	// CachedTokens is the number of prompt tokens believed to be cached at the
+	// target.
 	CachedTokens int
-	// Home is set if all VMs expect the shared parts here.
+	// Home is set if the target is the one that all VMs prefer for the shared
+	// parts.
 	Home bool
-	// FetchFrom is an engine or store from which more of the prompt can be
-	// fetched; nil if there is none.
+	// FetchFrom is an engine or store from which the target can fetch parts
+	// that it does not have; nil if there is none.
 	FetchFrom *Target
-	// SaveTo is the address of a store that takes what the engine reads; empty
-	// if the engine holds the shared parts already.
+	// SaveTo is the address of the store to which the engine saves what it
+	// prefills; empty if the store holds the shared parts already, or if there
+	// is none.
 	SaveTo string
-	// Expected is the expected time to the first byte of the answer.
+	// Expected is the expected time to the first byte of the response.
 	Expected time.Duration
 
 	member *member
+	// workMS is the time that the engine needs to fetch and prefill the prompt.
 	workMS float64
-	// insertedTokens is the number of tokens that the request brings into memory.
+	// insertedTokens is the number of tokens that the request adds to the
+	// engine's memory.
 	insertedTokens float64
-	// includedWaitMS is the part of Expected that was observed at earlier requests.
+	// includedWaitMS is the wait observed at earlier requests, which Expected
+	// includes.
 	includedWaitMS float64
 	sentAt         time.Time
 	firstByteSeen  bool
 }
 
+// member is a target with the state that this VM tracks for it.
 type member struct {
 	Target
 	hash uint64
-	// registryWeights is the version of the weights in the registry; Weights may be
-	// what the engine itself has stated since.
+	// registryWeights is the weight version in the registry. Target.Weights may
+	// be a version that the engine itself has reported since.
 	registryWeights uint64
-	// inflight counts requests of this VM.
+	// inflight counts the requests of this VM in flight.
 	inflight int
-	// backlogMS is the prompt work of all VMs that the engine had not done as
-	// of backlogAt.
+	// backlogMS is the prefill work, from all VMs, that was left at backlogAt.
 	backlogMS float64
 	backlogAt time.Time
-	// waitMS is the observed wait beyond the expected one as of waitAt.
+	// waitMS is the observed wait beyond the expected time, as of waitAt.
 	waitMS float64
 	waitAt time.Time
-	// failureRate is the decayed share of failed requests as of failedAt.
+	// failureRate is the decayed fraction of failed requests, as of
+	// failureRateAt.
 	failureRate   float64
 	failureRateAt time.Time
-	// down keeps requests away from a target that was not reachable.
+	// down is set after a failed connection. A target that is down gets
+	// requests only if no other one is left.
 	down bool
-	// insertedTokens is the number of tokens that requests of all VMs have brought
-	// into the engine's memory, and parts holds its value at the last use of a
-	// part: the least recently used parts yield to what came after them.
+	// insertedTokens is the number of tokens that requests of all VMs have
+	// added to the engine's memory, and parts maps the hash of a part to that
+	// number at the part's last use. The least recently used parts are evicted
+	// first.
 	insertedTokens float64
 	parts          map[uint32]float64
 }
@@ -154,28 +168,27 @@
 
 // Placer chooses targets. It is safe for concurrent use.
 type Placer struct {
-	// Region is the region of this VM, Zone its zone.
+	// Zone and Region are those of this VM.
 	Region string
 	Zone   string
-	// Clock returns the current time.
-	Clock func() time.Time
+	Clock  func() time.Time
 
 	mu       sync.Mutex
 	services map[string]*service
-	// outbox holds packets for the other fronts.
+	// outbox holds the packets to be sent to the other fronts.
 	outbox     [][]byte
 	hintsReady chan struct{}
-	// enginesByHash finds members by engineHash.
+	// enginesByHash maps engineHash to members.
 	enginesByHash map[uint32]*member
 	stores        []*store
 }
 
-// New returns a placer without targets.
+// New returns a Placer without targets.
 func New(zone, region string, clock func() time.Time) *Placer {
 	return &Placer{Region: region, Zone: zone, Clock: clock, hintsReady: make(chan struct{}, 1)}
 }
 
-// Update replaces the registry. What is known of targets that stay is kept.
+// Update replaces the registry. The state of targets that stay is kept.
 func (p *Placer) Update(targets map[string][]Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,14 +210,15 @@
 	p.rebuildEngineIndex()
 }
 
-// mergeMember keeps what is known of an incarnation. New weights empty its cache.
+// mergeMember applies a registry entry to the known member. The state is kept
+// if the incarnation is the same; new weights invalidate the cache.
 func mergeMember(m *member, t Target) *member {
 	if m == nil || m.Address != t.Address || m.Started != t.Started {
 		return &member{Target: t, registryWeights: t.Weights, hash: xxhash.Sum64String(t.ID), parts: make(map[uint32]float64)}
 	}
 	weights := m.Weights
 	if t.Weights != m.registryWeights {
-		// The engine's own statement may be newer than the registry.
+		// The version reported by the engine may be newer than the registry.
 		weights = max(t.Weights, m.Weights)
 	}
 	m.registryWeights, t.Weights = t.Weights, weights
@@ -215,9 +229,9 @@
 	return m
 }
 
-// Choose returns the target with the least expected time to the first byte,
-// or nil if there is none. The second result says how many targets the service
-// has at all.
+// Choose returns the target with the lowest expected time to the first byte, or
+// nil if none is eligible. The second result is the number of targets of the
+// service, eligible or not.
 func (p *Placer) Choose(req Request) (*Choice, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,7 +250,8 @@
 	return best, len(s.members)
 }
 
-// cheapest finds the best member; desperate also considers paused ones.
+// cheapest returns the member with the lowest cost. Members that are down are
+// considered only if includeDown is set.
 func (p *Placer) cheapest(s *service, req *Request, now time.Time, includeDown bool) *Choice {
 	home := homeFor(s, req)
 	var best *Choice
@@ -262,7 +277,7 @@
 	return best
 }
 
-// evaluate returns m as a choice with the work that the prompt means there.
+// evaluate returns a Choice of m with the work that the request causes there.
 func (p *Placer) evaluate(s *service, m, home *member, req *Request, now time.Time) *Choice {
 	cached := m.cachedTokens(req)
 	c := &Choice{Target: m.Target, CachedTokens: cached, Home: m == home, member: m}
@@ -273,8 +288,8 @@
 	return c
 }
 
-// prefillMS is the time that an engine needs to read new tokens of a prompt
-// after those that are cached.
+// prefillMS returns the time that an engine needs to prefill new tokens after
+// cached ones.
 func prefillMS(fresh, cached int) float64 {
 	if fresh <= 0 {
 		return prefillStepMS
@@ -284,8 +299,8 @@
 	return float64(fresh)/prefillTokensPerMS + chunks*prefillStepMS + pairs*attentionPairMS
 }
 
-// fetchSource returns the member that holds the most of the prompt beyond what m
-// holds, with the same weights; nil if that is too little.
+// fetchSource returns the member with the same weights from which m gains most
+// by fetching the parts that it does not have; nil if no gain is large enough.
 func (m *member) fetchSource(s *service, req *Request, cached int) *member {
 	if len(req.Parts) == 0 || m.Weights == 0 {
 		return nil
@@ -317,10 +332,12 @@
 	return fetchCrossRegionMS
 }
 
-// staleWeightsPenaltyMS is the penalty of an engine that still runs older weights. A fifth
-// of the worth of a request is lost there, as with a wait past the objective.
+// staleWeightsPenaltyMS is the penalty for an engine that still runs older
+// weights. Its response loses a fifth of its value, as does one that exceeds
+// the latency objective.
 const staleWeightsPenaltyMS = 120.0
 
+// eligible reports whether the request can be placed at m.
 func eligible(m *member, req *Request, includeDown bool) bool {
 	if m.Closed || m.down && !includeDown {
 		return false
@@ -333,6 +350,8 @@
 	return true
 }
 
+// roundTripMS returns the round-trip time to m. A target in another zone costs a
+// millisecond more.
 func (p *Placer) roundTripMS(m *member) float64 {
 	rtt := sameRegionRTT
 	if m.Region != p.Region {
@@ -353,6 +372,8 @@
 	return sum
 }
 
+// recordChoice updates the state of the chosen member and queues a hint for the
+// other fronts.
 func (p *Placer) recordChoice(c *Choice, req *Request, now time.Time) {
 	c.sentAt = now
 	m := c.member
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fakeClock is a clock that tests move.
+// fakeClock is a clock that tests advance.
 type fakeClock struct{ now time.Time }
 
 func newFakeClock() *fakeClock { return &fakeClock{time.Unix(1000, 0)} }
@@ -32,8 +32,9 @@
 	return p
 }
 
-// sharedPrompt has a first part that many subjects share, the part of a subject and
-// an own part.
+// sharedPrompt returns a request whose first part is shared by many subjects,
+// whose second part is shared by all requests about a subject, and whose third
+// part is unique.
 func sharedPrompt(first, subject, own uint64) Request {
 	return Request{Service: "model", UniqueParts: 1, Parts: []Part{{1000 + first, 2500}, {2000 + subject, 3800}, {900_000 + own, 2900}}}
 }
@@ -42,7 +43,7 @@
 	return Request{Service: "model", UniqueParts: 1, Parts: []Part{{500, 120}, {500_000 + own, 600}}}
 }
 
-// exchangeHints tells fronts what the others have sent.
+// exchangeHints delivers the packets of each front to all others.
 func exchangeHints(fronts []*Placer) {
 	for i, from := range fronts {
 		for _, packet := range from.TakeSent() {
@@ -64,8 +65,8 @@
 	return c
 }
 
-// Pattern hot_key: guards against one engine that gets every request about a
-// subject and makes them wait while others are idle.
+// Scenario hot_key: guards against one engine that gets every request about a
+// subject and makes them wait while other engines are idle.
 func TestHotSubjectSpreadsOverEnginesThatFetchIt(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestPlacer(clock, 9)
@@ -81,18 +82,18 @@
 		clock.advance(25 * time.Millisecond)
 	}
 	if len(used) < 3 {
-		t.Errorf("60 requests in 1.5 s used only the engines %v", used)
+		t.Errorf("60 requests in 1.5 s used only these engines: %v", used)
 	}
 	if slowest > 700*time.Millisecond {
-		t.Errorf("a request is expected to wait %v", slowest)
+		t.Errorf("slowest request has an expected time to first byte of %v, want at most 700ms", slowest)
 	}
 	if fetched == 0 {
-		t.Error("no engine fetches the parts that another one holds")
+		t.Error("no engine fetches the shared parts from another one")
 	}
 }
 
-// Pattern of many subjects at a low rate: guards against parts that are cached
-// on many engines and push each other out.
+// Scenario with many subjects at a low rate: guards against parts that are
+// cached on many engines and so evict each other.
 func TestRequestsOfASubjectStayTogetherWhileEnginesAreIdle(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestPlacer(clock, 9)
@@ -110,8 +111,8 @@
 	}
 }
 
-// Pattern burst: guards against fronts that all choose the same engine because
-// each knows only its own requests.
+// Scenario burst: guards against fronts that all choose the same engine because
+// each front knows only its own requests.
 func TestFrontsSpreadABurstTogether(t *testing.T) {
 	clock := newFakeClock()
 	var fronts []*Placer
@@ -127,7 +128,7 @@
 	}
 	for id, n := range used {
 		if n > 20 {
-			t.Errorf("engine %s got %d of 90 requests", id, n)
+			t.Errorf("engine %s got %d of 90 requests, want at most 20", id, n)
 		}
 	}
 	if len(used) != 9 {
@@ -135,8 +136,8 @@
 	}
 }
 
-// Pattern of short and long prompts: guards against short requests that wait
-// behind the prompts of long ones.
+// Scenario with short and long prompts: guards against short requests that wait
+// while an engine prefills long prompts.
 func TestShortRequestsAvoidEnginesThatReadLongPrompts(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestPlacer(clock, 3)
@@ -146,13 +147,14 @@
 	}
 	for i := range uint64(10) {
 		if c := mustChoose(t, p, shortPrompt(i)); busy[c.Target.ID] && len(busy) < 3 {
-			t.Fatalf("short request %d goes to an engine that reads a long prompt", i)
+			t.Fatalf("short request %d was placed at an engine that prefills a long prompt", i)
 		}
 	}
 }
 
-// Pattern srv_crash dark: guards against every front losing a request to a
-// silent engine, and against one that never takes it back.
+// Scenario srv_crash dark: guards against each front losing a request to an
+// unresponsive engine, and against an engine that is never used again after it
+// comes back.
 func TestUnreachableEngineIsAnnouncedAndUsedAgainOnceReachable(t *testing.T) {
 	clock := newFakeClock()
 	fronts := []*Placer{newTestPlacer(clock, 2), newTestPlacer(clock, 2)}
@@ -163,16 +165,16 @@
 	for i, p := range fronts {
 		for n := range uint64(5) {
 			if got := mustChoose(t, p, shortPrompt(10+n)); got.Target.ID == lost {
-				t.Fatalf("front %d sends to the lost engine", i)
+				t.Fatalf("front %d placed a request at the unreachable engine", i)
 			}
 		}
-		if paused := p.Paused(); len(paused) != 1 || paused[0].ID != lost {
-			t.Fatalf("front %d looks for %v", i, paused)
+		if down := p.Paused(); len(down) != 1 || down[0].ID != lost {
+			t.Fatalf("front %d lists %v as down, want only the unreachable engine", i, down)
 		}
 	}
 	fronts[1].Reachable(lost)
 	if len(fronts[1].Paused()) != 0 {
-		t.Error("engine that was reached is still avoided")
+		t.Error("engine is still marked as down after it was reached")
 	}
 	clock.advance(time.Minute)
 	seen := false
@@ -180,29 +182,30 @@
 		seen = seen || mustChoose(t, fronts[1], shortPrompt(50+n)).Target.ID == lost
 	}
 	if !seen {
-		t.Error("engine that was reached gets no requests")
+		t.Error("engine gets no requests after it was reached")
 	}
 }
 
-// Guards against prompts that are expected to be cached after their parts have
-// yielded: 9,000 tokens were read where 2,900 were expected.
+// Guards against evicted parts that still count as cached: an engine then
+// prefilled 9,000 tokens where 2,900 were expected.
 func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestPlacer(clock, 1)
 	mustChoose(t, p, sharedPrompt(1, 1, 1))
 	if c := mustChoose(t, p, sharedPrompt(1, 1, 2)); c.CachedTokens != 6300 {
-		t.Errorf("%d tokens are expected in the cache, want 6300", c.CachedTokens)
+		t.Errorf("%d tokens count as cached, want 6300", c.CachedTokens)
 	}
 	for i := range uint64(12) {
 		mustChoose(t, p, sharedPrompt(10+i, 100+i, 100+i))
 	}
 	if c := mustChoose(t, p, sharedPrompt(1, 1, 3)); c.CachedTokens != 0 {
-		t.Errorf("%d tokens are expected in the cache after 110,000 others", c.CachedTokens)
+		t.Errorf("%d tokens count as cached after 110,000 others were inserted, want 0", c.CachedTokens)
 	}
 }
 
-// Guards against memory of other weights: an engine must fetch only from one
-// that runs the same version, and new weights empty a cache.
+// Guards against reuse of a cache computed with other weights: an engine must
+// fetch only from one that runs the same version, and new weights invalidate a
+// cache.
 func TestNothingIsFetchedFromOtherWeights(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestPlacer(clock, 2)
@@ -217,11 +220,11 @@
 	req := sharedPrompt(1, 1, 2)
 	req.Exclude = []string{first.Target.ID}
 	if c := mustChoose(t, p, req); c.FetchFrom != nil || c.CachedTokens != 0 {
-		t.Errorf("engine with weights 2 is to use %d tokens and fetch from %v", c.CachedTokens, c.FetchFrom)
+		t.Errorf("engine with weights 2 counts %d tokens as cached and fetches from %v, want 0 and nil", c.CachedTokens, c.FetchFrom)
 	}
 }
 
-// Guards against a panic on a datagram that is cut short or made up.
+// Guards against a panic on a truncated or forged datagram.
 func TestMalformedPacketsAreIgnored(t *testing.T) {
 	p := newTestPlacer(newFakeClock(), 2)
 	mustChoose(t, p, sharedPrompt(1, 1, 1))
@@ -232,14 +235,15 @@
 	p.Hint([]byte{1, 2, 3, 4, 5, 6, 7, 8, 255})
 }
 
-// Guards against requests to targets that are leaving or have moved.
+// Guards against requests to targets that are draining or whose address now
+// belongs to another target.
 func TestClosedTargetsGetNoRequests(t *testing.T) {
 	p := newTestPlacer(newFakeClock(), 2)
 	c := mustChoose(t, p, shortPrompt(1))
 	p.Done(c, Misdirected)
 	for n := range uint64(5) {
 		if got := mustChoose(t, p, shortPrompt(n)); got.Target.ID == c.Target.ID {
-			t.Fatal("request goes to an address that another target has")
+			t.Fatal("request was placed at an address that now belongs to another target")
 		}
 	}
 	targets := testEngines(2, 1)
@@ -248,6 +252,6 @@
 	}
 	p.Update(targets)
 	if got, known := p.Choose(shortPrompt(9)); got != nil || known != 2 {
-		t.Errorf("chose %v of %d closed targets", got, known)
+		t.Errorf("chose %v with %d closed targets, want nil with 2", got, known)
 	}
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -6,49 +6,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Store keeps parts of prompts for all engines. It runs no requests.
+// Store is a server that caches parts of prompts for all engines. It runs no
+// requests.
 type Store struct {
 	Address string
 	Zone    string
 	Region  string
-	// Tokens is the memory of the store.
+	// Tokens is the capacity of the store.
 	Tokens int
-	// TokenMS is how long the transfer of a token takes within a zone, in
-	// milliseconds.
+	// TokenMS is the transfer time per token within a zone, in milliseconds.
 	TokenMS float64
 }
 
-// store is a store with the parts that it is believed to hold. Engines save
-// what they read to a store of their region, so every front follows what the
-// stores hold from what is sent to engines.
+// store tracks the parts that a Store is believed to hold. Engines save the
+// parts that they prefill to a store of their region, so every front derives
+// the content of the stores from the requests placed at engines.
 type store struct {
 	Store
 	hash uint64
-	// insertedTokens is the number of tokens saved so far.
+	// insertedTokens is the total number of tokens saved to the store.
 	insertedTokens float64
 	parts          map[uint64]savedPart
 }
 
-// savedPart is the last save of a part.
+// savedPart is the latest save of a part.
 type savedPart struct {
-	// insertedTokens is the number of tokens that the store had taken by then.
+	// insertedTokens is the store's total at the time of the save.
 	insertedTokens float64
 	savedAt        time.Time
 }
 
 const (
-	// maxStoreParts bounds the parts remembered of one store.
+	// maxStoreParts limits the parts tracked for one store.
 	maxStoreParts = 1 << 16
-	// resaveAge is the age from which a part is saved again: a store that
-	// restarts is empty and tells nobody.
+	// resaveAge is the age from which a part is saved again. A store that
+	// restarts is empty and does not announce it.
 	resaveAge = 30 * time.Second
-	// crossZoneFactor is how much longer a transfer between zones takes.
+	// crossZoneFactor is the ratio of the transfer time between zones to the
+	// time within a zone.
 	crossZoneFactor = 2
 )
 
-// UpdateStores replaces the list of stores that can be reached. What is known
-// of one that was not in the list is forgotten, because a store that restarts
-// is empty.
+// UpdateStores replaces the list of reachable stores. The tracked parts of a
+// store that leaves the list are discarded, because a store that restarts is
+// empty.
 func (p *Placer) UpdateStores(list []Store) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,9 +68,10 @@
 	}
 }
 
-// storeFor returns the store of a prompt for an engine: one of the engine's
-// region, because a transfer between regions takes longer than to read the
-// part again. All fronts agree on it by rendezvous hashing.
+// storeFor returns the store that an engine uses for a prompt, given the hash
+// of the last shared part; nil if there is none. It is in the engine's region,
+// because a transfer between regions takes longer than prefilling the part
+// again. Rendezvous hashing lets all fronts choose the same store.
 func (p *Placer) storeFor(m *member, last uint32) *store {
 	var best *store
 	weight := uint64(0)
@@ -84,10 +86,11 @@
 	return best
 }
 
-// storeKey names a part that was made with some weights.
+// storeKey identifies a part computed with the given weights.
 func storeKey(part uint32, weights uint64) uint64 { return mix64(uint64(part) ^ mix64(weights)) }
 
-// heldTokens returns the leading tokens of the parts that the store holds.
+// heldTokens returns the number of leading tokens of the parts that the store
+// is believed to hold.
 func (s *store) heldTokens(now time.Time, parts []Part, weights uint64) int {
 	sum := 0
 	for _, part := range parts {
@@ -100,15 +103,15 @@
 	return sum
 }
 
-// mayBeEvicted reports whether a part may have yielded to others.
+// mayBeEvicted reports whether the store may no longer hold a part.
 func (s *store) mayBeEvicted(now time.Time, p savedPart) bool {
 	return now.Sub(p.savedAt) > resaveAge || s.insertedTokens-p.insertedTokens > cacheFraction*float64(s.Tokens)
 }
 
-// recordSave notes that an engine saves the parts of a prompt, of which it reads the
-// number of tokens given.
-func (s *store) recordSave(now time.Time, parts []uint32, weights uint64, read float64) {
-	s.insertedTokens += read
+// recordSave records that an engine saves the parts of a prompt and prefills
+// the given number of tokens of them.
+func (s *store) recordSave(now time.Time, parts []uint32, weights uint64, prefilled float64) {
+	s.insertedTokens += prefilled
 	for _, part := range parts {
 		s.parts[storeKey(part, weights)] = savedPart{s.insertedTokens, now}
 	}
@@ -117,6 +120,8 @@
 	}
 }
 
+// evictParts removes the parts that the store may no longer hold, or all of them
+// if too many are left.
 func (s *store) evictParts(now time.Time) {
 	for key, saved := range s.parts {
 		if s.mayBeEvicted(now, saved) {
@@ -128,7 +133,8 @@
 	}
 }
 
-// transferMSPerToken is the time of the transfer of a token to an engine of the region.
+// transferMSPerToken returns the transfer time per token to an engine of the
+// store's region.
 func (s *store) transferMSPerToken(to *member) float64 {
 	if s.Zone == to.Zone {
 		return s.TokenMS
@@ -136,34 +142,36 @@
 	return crossZoneFactor * s.TokenMS
 }
 
-// recordSave notes that a prompt was sent to an engine that saves what it reads.
-func (p *Placer) recordSave(now time.Time, m *member, shared []uint32, read float64) {
+// recordSave records that a prompt was sent to an engine that saves its shared
+// parts.
+func (p *Placer) recordSave(now time.Time, m *member, shared []uint32, prefilled float64) {
 	if len(shared) == 0 {
 		return
 	}
 	if s := p.storeFor(m, shared[len(shared)-1]); s != nil {
-		s.recordSave(now, shared, m.Weights, read)
+		s.recordSave(now, shared, m.Weights, prefilled)
 	}
 }
 
-// planTransfers notes in c where the engine should fetch parts from and save them to.
-// It returns how many tokens the engine fetches and how long that takes.
-func (p *Placer) planTransfers(c *Choice, s *service, req *Request, now time.Time) (tokens int, took float64) {
+// planTransfers sets in c where the engine fetches parts from and where it
+// saves them. It returns how many tokens the engine fetches, and the duration
+// of the fetch in milliseconds.
+func (p *Placer) planTransfers(c *Choice, s *service, req *Request, now time.Time) (tokens int, fetchMS float64) {
 	m, cached := c.member, c.CachedTokens
 	if source := m.fetchSource(s, req, cached); source != nil {
 		tokens = source.cachedTokens(req) - cached
-		took = fetchSetupMS + float64(tokens)*fetchMSPerToken(m, source)
+		fetchMS = fetchSetupMS + float64(tokens)*fetchMSPerToken(m, source)
 		target := source.Target
 		c.FetchFrom = &target
 	}
 	shared := req.sharedParts()
 	size := totalTokens(shared)
 	if m.Weights == 0 || size < minFetchTokens {
-		return tokens, took
+		return tokens, fetchMS
 	}
 	store := p.storeFor(m, uint32(shared[len(shared)-1].ID))
 	if store == nil {
-		return tokens, took
+		return tokens, fetchMS
 	}
 	held := store.heldTokens(now, shared, m.Weights)
 	if held < size {
@@ -171,14 +179,14 @@
 	}
 	more := held - cached
 	if more >= max(minFetchTokens, tokens) {
-		tokens, took = more, fetchSetupMS+float64(more)*store.transferMSPerToken(m)
+		tokens, fetchMS = more, fetchSetupMS+float64(more)*store.transferMSPerToken(m)
 		c.FetchFrom = nil
 	}
 	if c.FetchFrom == nil {
-		// The store is asked also if the engine is expected to hold the parts:
-		// a request that finds nothing there loses a millisecond, but a part
-		// that has yielded unnoticed is not read again.
+		// Query the store even if the engine is expected to hold the parts. A
+		// miss costs a millisecond; a hit avoids the prefill of a part that the
+		// engine has evicted without the front noticing.
 		c.FetchFrom = &Target{ID: store.Address, Address: store.Address}
 	}
-	return tokens, took
+	return tokens, fetchMS
 }
