--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -5,16 +5,20 @@
 	"time"
 )
 
-// budgetSlots divides the window of a budget.
+// budgetSlots is the number of slots into which the window of a budget is
+// divided.
 const budgetSlots = 10
 
-// budgetFraction is the part of the promised budget that is used: the windows of
-// the promise slide, and those here move in steps.
+// budgetFraction is the fraction of the promised budget that is used. The
+// margin is needed because the promise holds for a sliding window, while the
+// window here advances slot by slot.
 const budgetFraction = 0.7
 
-// Budget bounds the extra sends to each service by the share of one front.
+// Budget limits the retries to each service. Each front may use an equal share
+// of Slack, and Ratio of its own requests.
 type Budget struct {
-	// Ratio and Slack bound the extra sends of all fronts within Window.
+	// Ratio and Slack limit the retries of all fronts within Window: to Ratio
+	// times the number of requests, plus Slack.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -25,8 +29,8 @@
 
 type budgetWindow struct {
 	slots [budgetSlots]struct {
-		tick          int64
-		first, extras float64
+		tick              int64
+		requests, retries float64
 	}
 }
 
@@ -42,35 +46,36 @@
 	tick := now.UnixNano() / int64(b.Window/budgetSlots)
 	s := &w.slots[tick%budgetSlots]
 	if s.tick != tick {
-		s.tick, s.first, s.extras = tick, 0, 0
+		s.tick, s.requests, s.retries = tick, 0, 0
 	}
 	return w, tick
 }
 
-// RecordRequest counts a request.
+// RecordRequest counts a request, which raises the limit of retries.
 func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, tick := b.slot(service, now)
-	w.slots[tick%budgetSlots].first++
+	w.slots[tick%budgetSlots].requests++
 }
 
-// TakeRetry takes one extra send and reports false if the budget is spent.
+// TakeRetry takes one retry from the budget. It reports false if the budget is
+// exhausted.
 func (b *Budget) TakeRetry(service string, now time.Time, fronts int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, tick := b.slot(service, now)
-	first, extras := 0.0, 0.0
+	requests, retries := 0.0, 0.0
 	for i := range w.slots {
 		if s := &w.slots[i]; tick-s.tick < budgetSlots {
-			first += s.first
-			extras += s.extras
+			requests += s.requests
+			retries += s.retries
 		}
 	}
-	allowed := budgetFraction * (b.Ratio*first + b.Slack/float64(max(fronts, 1)))
-	if extras+1 > allowed {
+	allowed := budgetFraction * (b.Ratio*requests + b.Slack/float64(max(fronts, 1)))
+	if retries+1 > allowed {
 		return false
 	}
-	w.slots[tick%budgetSlots].extras++
+	w.slots[tick%budgetSlots].retries++
 	return true
 }
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -6,13 +6,14 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// event is one event of a stream with its blank line.
+// event is one event of a server-sent event stream, including the blank line
+// that ends it.
 type event struct {
 	data []byte
-	// id is the number of the event; -1 if it has none.
+	// id is the value of the id field; -1 if the event has none.
 	id int64
 }
 
@@ -22,8 +23,8 @@
 	buf []byte
 }
 
-// next returns the next whole event. At the end of the stream it returns the
-// bytes after the last whole event, if any, with the error.
+// next returns the next complete event. At the end of the stream it returns the
+// bytes after the last complete event, if any, with the error.
 func (r *eventReader) next() (event, error) {
 	r.buf = r.buf[:0]
 	for {
@@ -41,7 +42,8 @@
 	}
 }
 
-// eventID returns the number in the last id field of an event, or -1.
+// eventID returns the number in the last id field of an event; -1 if there is
+// none.
 func eventID(data []byte) int64 {
 	id := int64(-1)
 	for len(data) > 0 {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -22,7 +22,8 @@
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
 
-// testCodec uses headers of its own, so that the tests need no platform.
+// testCodec uses its own headers, so that the tests do not depend on the
+// platform package.
 type testCodec struct{}
 
 func (testCodec) Request(h http.Header) (Request, error) {
@@ -42,13 +43,14 @@
 	return Answer{RequestID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != ""}
 }
 
-func (testCodec) Reply(caller, answer http.Header) { caller["Signed"] = answer["Signed"] }
+func (testCodec) Reply(caller, response http.Header) { caller["Signed"] = response["Signed"] }
 
-// script is what a scripted target does with one request on one connection. It
-// reports whether the connection goes on.
+// script handles one request on a connection. It reports whether the connection
+// stays open.
 type script func(conn net.Conn, r *http.Request) bool
 
-// scriptedTarget answers its requests by scripts in turn; the last one repeats.
+// scriptedTarget handles its requests with scripts in turn; the last one
+// repeats.
 type scriptedTarget struct {
 	address string
 	mu      sync.Mutex
@@ -106,17 +108,18 @@
 
 func respondOK(body string) script { return respond("200 OK", "Signed: yes\r\n", body) }
 
-// streamResponse sends a stream; unless whole, the connection breaks after them.
-func streamResponse(whole bool, list ...string) script {
+// streamResponse sends a stream of events. If complete is false, the connection
+// breaks after them.
+func streamResponse(complete bool, list ...string) script {
 	return func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for _, e := range list {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(e), e)
 		}
-		if whole {
+		if complete {
 			fmt.Fprint(conn, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
@@ -129,13 +132,13 @@
 }
 func (unlimitedQuota) Refund(string, float64) {}
 
-// front is a handler in front of scripted targets, tried in their order.
+// front is a Handler with scripted targets, which it tries in order.
 type front struct {
 	server  *httptest.Server
 	handler *Handler
 	mu      sync.Mutex
 	state   State
-	// stateSoon says whether a missing state is expected.
+	// stateSoon is the result of Handler.StateSoon.
 	stateSoon bool
 }
 
@@ -163,7 +166,8 @@
 	placer := placement.New("z", "r", time.Now)
 	var list []placement.Target
 	for i, target := range targets {
-		// The region makes the first target the preferred one.
+		// The other targets are in another region, so that the first one is
+		// preferred.
 		list = append(list, placement.Target{ID: fmt.Sprint("t", i), Address: target.address, Zone: "z", Region: []string{"r", "far"}[min(i, 1)]})
 	}
 	placer.Update(map[string][]placement.Target{"s": list})
@@ -201,82 +205,82 @@
 	return resp, string(data), err
 }
 
-// Guards against a changed request: method, path, query and body must arrive as
-// they were sent, and the key must not.
+// Guards against changes to a request: method, path, query and body must arrive
+// as they were sent, and the key must be removed.
 func TestRequestArrivesUnchangedAndWithoutTheKey(t *testing.T) {
 	target := newTarget(t, respondOK("fine"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
 	resp, body, err := f.call(t, "r1", "POST", strings.Repeat("x", 20_000))
 	if err != nil || resp.StatusCode != 200 || body != "fine" {
-		t.Fatalf("answer %v %q, %v", resp, body, err)
+		t.Fatalf("got response %v with body %q, error %v", resp, body, err)
 	}
 	got := target.requests()[0]
 	data, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/x?q=1" || len(data) != 20_000 {
-		t.Errorf("arrived as %s %s with %d bytes", got.Method, got.RequestURI, len(data))
+		t.Errorf("request arrived as %s %s with a body of %d bytes", got.Method, got.RequestURI, len(data))
 	}
 	if got.Header.Get("Key") != "" || got.Header.Get("Workspace") != "w" {
-		t.Errorf("arrived with the headers %v", got.Header)
+		t.Errorf("request arrived with the headers %v", got.Header)
 	}
 }
 
-// Guards against a request that runs twice: after a broken connection a target
-// may have run it.
+// Guards against a request that runs twice: a target may have run it before the
+// connection broke.
 func TestRequestThatRunsOnceIsNotSentAgainAfterABreak(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
 	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce, MaxAttempts: 3}, broken, second)
 	resp, _, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Fatalf("answer %v, %v; want 502", resp, err)
+		t.Fatalf("got response %v, error %v; want status 502", resp, err)
 	}
 	if len(second.requests()) != 0 {
 		t.Error("request was sent to a second target")
 	}
 }
 
-// Guards against a lost idempotent request and against one that is sent to more
-// targets than its route allows.
+// Guards against an idempotent request that is not retried, and against one
+// that is sent to more targets than its route allows.
 func TestIdempotentRequestIsRetriedWithinMaxAttempts(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
 	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 2}, broken, second)
 	if _, body, err := f.call(t, "r1", "GET", ""); err != nil || body != "second" {
-		t.Errorf("answer %q, %v", body, err)
+		t.Errorf("got body %q, error %v", body, err)
 	}
-	alsoBroken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
-	f = newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 1}, broken, alsoBroken)
+	secondBroken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
+	f = newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 1}, broken, secondBroken)
 	resp, _, err := f.call(t, "r2", "GET", "")
-	if err != nil || resp.StatusCode != http.StatusBadGateway || len(alsoBroken.requests()) != 0 {
-		t.Errorf("answer %v, %v after %d more sends", resp, err, len(alsoBroken.requests()))
+	if err != nil || resp.StatusCode != http.StatusBadGateway || len(secondBroken.requests()) != 0 {
+		t.Errorf("got response %v, error %v after %d further attempts; want status 502 after none", resp, err, len(secondBroken.requests()))
 	}
 }
 
-// Guards against a request that is given up although no target has run it.
+// Guards against rejecting a request that no target has run.
 func TestRequestNotRunByTargetIsRetriedElsewhere(t *testing.T) {
 	full := newTarget(t, respond("503 Service Unavailable", "Not-Run: 1\r\n", ""))
 	second := newTarget(t, respondOK("second"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, full, second)
 	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "second" {
-		t.Errorf("answer %v %q, %v", resp, body, err)
+		t.Errorf("got response %v with body %q, error %v", resp, body, err)
 	}
 }
 
-// Guards against a refusal that says "not run" of a request that has run: a
-// target's 503 without that statement must not reach the caller as 503.
+// Guards against a status that wrongly implies that the request has not run: a
+// target's 503 without a not-run statement must not reach the caller as 503.
 func TestFailureOfATargetIsNotPassedOnAsARefusal(t *testing.T) {
 	for _, status := range []string{"503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"} {
 		target := newTarget(t, respond(status, "Signed: yes\r\n", ""))
 		f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
 		resp, _, err := f.call(t, "r1", "POST", "b")
 		if err != nil || impliesNotRun(resp.StatusCode) || resp.Header.Get("Retry-After") != "" {
-			t.Errorf("%s: answer %v, %v", status, resp, err)
+			t.Errorf("target status %s: got response %v, error %v", status, resp, err)
 		}
 	}
 }
 
-// Guards against an answer that belongs to another request: a target sends a
-// second answer, which arrives where the next one is expected.
+// Guards against a response to another request: a target sends a second
+// response, which arrives where the next one is expected.
 func TestStrayAnswerOnAConnectionIsSkipped(t *testing.T) {
 	stray := func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 5\r\n\r\nwrong")
@@ -284,20 +288,20 @@
 	}
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, stray))
 	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "right" {
-		t.Errorf("answer %v %q, %v", resp, body, err)
+		t.Errorf("got response %v with body %q, error %v", resp, body, err)
 	}
 }
 
-// Guards against a success without the target's signature.
+// Guards against delivering a response that lacks the target's signature.
 func TestAnswerWithoutSignatureIsNoSuccess(t *testing.T) {
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respond("200 OK", "", "forged")))
 	resp, body, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || strings.Contains(body, "forged") {
-		t.Errorf("answer %v %q, %v", resp, body, err)
+		t.Errorf("got response %v with body %q, error %v", resp, body, err)
 	}
 }
 
-// Guards against an answer that ends early and looks complete.
+// Guards against a truncated response that looks complete.
 func TestTruncatedAnswerIsNoSuccess(t *testing.T) {
 	truncated := func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 50\r\n\r\nhalf", r.Header.Get("Id"))
@@ -305,12 +309,12 @@
 	}
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, truncated))
 	if resp, _, err := f.call(t, "r1", "POST", "b"); err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("answer %v, %v", resp, err)
+		t.Errorf("got response %v, error %v; want status 502", resp, err)
 	}
 }
 
-// respondEarly answers each request before it has read the body, and reports
-// what comes where the body is due.
+// respondEarly responds to each request before it reads the body, and reports
+// any bytes of the body that the front did not send as such.
 func respondEarly(conn net.Conn, report chan<- string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -322,7 +326,7 @@
 		respondOK("early")(conn, r)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			// The connection was given up, which is allowed.
+			// Closing the connection is allowed as well.
 			report <- ""
 			return
 		}
@@ -330,8 +334,9 @@
 	}
 }
 
-// Guards against a target that answers before it has read a long body and keeps
-// the connection: other bytes must not come where the rest of the body is due.
+// Guards against a connection that is reused although a target has responded
+// before it read a long body: no other bytes must arrive in place of the rest
+// of the body.
 func TestTargetThatAnswersEarlyGetsNothingButTheBody(t *testing.T) {
 	report := make(chan string, 8)
 	address, stop, err := loopback.Serve(func(conn net.Conn) { respondEarly(conn, report) })
@@ -342,16 +347,16 @@
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, &scriptedTarget{address: address})
 	for i := range 4 {
 		if _, body, err := f.call(t, fmt.Sprint("r", i), "POST", strings.Repeat("x", 3<<20)); err != nil || body != "early" {
-			t.Fatalf("answer %q, %v", body, err)
+			t.Fatalf("got body %q, error %v", body, err)
 		}
 		if other := <-report; other != "" {
-			t.Fatalf("%d other bytes came in a body", len(other))
+			t.Fatalf("%d bytes other than the body arrived in its place", len(other))
 		}
 	}
 }
 
 // Guards against a resumable stream that ends when its engine dies, and against
-// events that are missing or come twice.
+// missing or duplicate events.
 func TestResumableStreamContinuesAtAnotherEngine(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1), eventText(2), "id: 3\nda"))
 	second := newTarget(t, streamResponse(true, eventText(2), eventText(3), eventText(4)))
@@ -359,15 +364,15 @@
 	_, body, err := f.call(t, "r1", "POST", "b")
 	want := eventText(1) + eventText(2) + eventText(3) + eventText(4)
 	if err != nil || body != want {
-		t.Errorf("stream %q, %v; want %q", body, err, want)
+		t.Errorf("got stream %q, error %v; want %q", body, err, want)
 	}
 	if after := second.requests()[0].Header.Get("After"); after != "2" {
-		t.Errorf("second engine was asked to go on after %q, want 2", after)
+		t.Errorf("second engine was asked to resume after event %q, want 2", after)
 	}
 }
 
-// Guards against a broken stream that looks complete to its caller, and against
-// a second run of a stream that may not be resumed.
+// Guards against a truncated stream that looks complete to the caller, and
+// against a second run of a stream that must not be resumed.
 func TestStreamThatCannotGoOnIsBrokenOff(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1)))
 	second := newTarget(t, streamResponse(true, eventText(2)))
@@ -377,16 +382,17 @@
 		t.Errorf("stream %q looks complete", body)
 	}
 	if len(second.requests()) != 0 {
-		t.Error("stream was run again")
+		t.Error("stream was sent to a second target")
 	}
 }
 
-// Guards against engines that go on working for a caller that has left.
+// Guards against engines that continue to work for a caller that has
+// disconnected.
 func TestEngineIsLeftWhenTheCallerLeaves(t *testing.T) {
-	left := make(chan struct{})
+	closed := make(chan struct{})
 	waiting := newTarget(t, func(conn net.Conn, _ *http.Request) bool {
 		_, _ = conn.Read(make([]byte, 1))
-		close(left)
+		close(closed)
 		return false
 	})
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, waiting)
@@ -403,52 +409,52 @@
 	}()
 	if resp, err := http.DefaultClient.Do(r); err == nil {
 		resp.Body.Close()
-		t.Fatal("request was answered")
+		t.Fatal("canceled request got a response")
 	}
 	select {
-	case <-left:
+	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the connection to the engine is still open")
+		t.Error("connection to the engine is still open 5 s after the caller disconnected")
 	}
 }
 
-// Guards against keys that are taken by a VM that has been cut off for longer
-// than a withdrawn key may work.
+// Guards against keys that a VM accepts although it has been cut off from the
+// core for longer than a withdrawn key may remain valid.
 func TestKeysAreRefusedOnceTheyAreNotConfirmed(t *testing.T) {
 	target := newTarget(t, respondOK("fine"))
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
 	f.setState(State{Table: f.state.Table, Confirmed: -2 * time.Second})
 	resp, _, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("answer %v, %v; want 503 with Retry-After", resp, err)
+		t.Errorf("got response %v, error %v; want status 503 with Retry-After", resp, err)
 	}
 	if len(target.requests()) != 0 {
 		t.Error("request with an unconfirmed key was sent")
 	}
 }
 
-// Guards against more repeats than the fleet may make: the share of one front
-// must end.
+// Guards against more retries than the fleet may make: a front must stop at its
+// share of the budget.
 func TestBudgetEndsRepeats(t *testing.T) {
 	b := &Budget{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	for range 100 {
 		b.RecordRequest("s", now)
 	}
-	extras := 0
+	retries := 0
 	for b.TakeRetry("s", now, 8) {
-		extras++
+		retries++
 	}
-	if limit := 0.2*100 + 56.0/8; extras == 0 || float64(extras) > limit {
-		t.Errorf("%d repeats of 100 requests at one of 8 fronts, limit %.0f", extras, limit)
+	if limit := 0.2*100 + 56.0/8; retries == 0 || float64(retries) > limit {
+		t.Errorf("front allowed %d retries for 100 requests as one of 8 fronts; want at least 1 and at most %.0f", retries, limit)
 	}
 	if !b.TakeRetry("s", now.Add(11*time.Second), 8) {
-		t.Error("budget does not come back")
+		t.Error("budget is still exhausted after its window has passed")
 	}
 }
 
-// Pattern kill of all: guards against callers whose only other attempt is
-// refused by a front that gets its state a moment later.
+// Scenario with all processes killed: guards against callers whose only retry
+// is rejected by a front that gets its state a moment later.
 func TestRequestWaitsForAFrontThatHasJustStarted(t *testing.T) {
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
 	ready := f.getState()
@@ -459,26 +465,26 @@
 		f.setState(ready)
 	}()
 	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "fine" {
-		t.Errorf("answer %v %q, %v", resp, body, err)
+		t.Errorf("got response %v with body %q, error %v", resp, body, err)
 	}
 }
 
-// Guards against requests that are held although nobody expects the core back:
-// callers must hear at once when to come again.
+// Guards against requests that are held while no state is expected soon:
+// callers must be told at once when to retry.
 func TestRequestIsRefusedAtOnceWhileNoStateIsExpected(t *testing.T) {
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
 	f.setState(State{})
 	start := time.Now()
 	resp, _, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("answer %v, %v; want 503 with Retry-After", resp, err)
+		t.Errorf("got response %v, error %v; want status 503 with Retry-After", resp, err)
 	}
 	if took := time.Since(start); took > maxStateWait {
-		t.Errorf("refused after %v", took)
+		t.Errorf("request was rejected only after %v", took)
 	}
 }
 
-// recorder notes what is reported of targets.
+// recorder records the reported results.
 type recorder struct {
 	Placer
 	mu      sync.Mutex
@@ -492,8 +498,8 @@
 	r.Placer.Done(c, result)
 }
 
-// Guards against a target that all fronts avoid as lost because a caller has
-// left while the connection was being opened.
+// Guards against a target that all fronts mark as down because a caller has
+// disconnected while the connection was being opened.
 func TestCallerLeavingDuringDialIsNotATargetFailure(t *testing.T) {
 	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
 	r := &recorder{Placer: f.handler.Placer}
@@ -506,6 +512,6 @@
 	request.Header.Set("Key", "key")
 	f.handler.ServeHTTP(httptest.NewRecorder(), request)
 	if len(r.results) != 1 || r.results[0] != placement.Canceled {
-		t.Errorf("reported %v, want Abandoned", r.results)
+		t.Errorf("reported %v, want only Canceled", r.results)
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -26,42 +26,47 @@
 	Budget *Budget
 	Pool   *targetconn.Pool
 	Logger *zap.Logger
-	// Boot is the clock that does not stop during a suspension.
+	// Boot returns the time of a clock that continues during a suspension.
 	Boot func() time.Duration
-	// KeysValid is how long after the confirmation of the state keys are
-	// taken; 0 is forever.
+	// KeysValid is how long keys are accepted after the state was last
+	// confirmed; 0 means without limit.
 	KeysValid time.Duration
-	// StateSoon reports whether a state that can be used is expected within
-	// about the time of an election.
+	// StateSoon reports whether a usable state is expected within about the
+	// duration of an election.
 	StateSoon func() bool
-	// Stopping reports whether callers have to go to other VMs.
+	// Stopping reports whether this VM is shutting down, so that callers must
+	// move to other VMs.
 	Stopping func() bool
-	// Observe counts the outcome of a request.
+	// Observe records the outcome and duration of a request.
 	Observe func(kind gateway.RunKind, code string, took time.Duration)
 }
 
-// Limits of what callers wait for.
+// Limits on the time and resources of a request.
 const (
-	// maxQuotaWait is how long a request waits for its quota rather than being
-	// refused; it is below half of the shortest objective.
+	// maxQuotaWait is the longest time that a request waits for its quota
+	// before it is rejected. It is less than half of the shortest latency
+	// objective.
 	maxQuotaWait = 120 * time.Millisecond
-	// maxStateWait is how long a request waits at a front that has just started
-	// or lost the core: about an election. It waits for statePart of its own
-	// limit at most. statePoll is the time between two looks.
+	// maxStateWait is the longest time that a request waits at a front that has
+	// just started or lost its connection to the core: about the duration of an
+	// election. A request waits at most 1/stateWaitDivisor of its own timeout.
+	// statePollInterval is the time between two checks of the state.
 	maxStateWait      = 1200 * time.Millisecond
 	stateWaitDivisor  = 4
 	statePollInterval = 20 * time.Millisecond
-	// maxAttempts bounds the targets that one request is offered to.
+	// maxAttempts limits the attempts of one request, including those that did
+	// not run it.
 	maxAttempts = 4
-	// defaultTimeout applies to callers that state no deadline.
+	// defaultTimeout applies to requests that state no deadline.
 	defaultTimeout = time.Minute
-	// defaultMaxBodyBytes applies to documents without a limit.
+	// defaultMaxBodyBytes applies if the configuration document sets no limit.
 	defaultMaxBodyBytes = 8 << 20
-	// deadlineMargin is taken off the deadline that a target is told.
+	// deadlineMargin is subtracted from the time left when the target is told
+	// its deadline.
 	deadlineMargin = 5 * time.Millisecond
 )
 
-// call is one request on its way.
+// call is one request in progress.
 type call struct {
 	*Handler
 	w         http.ResponseWriter
@@ -73,20 +78,22 @@
 	service   string
 	body      []byte
 	started   time.Time
-	// deadline is when the caller or the route gives up.
+	// deadline is the earlier of the caller's deadline and the timeout of the
+	// route.
 	deadline         time.Time
 	placementRequest placement.Request
 	chargedCost      float64
 
-	// attempts counts the targets that the request was offered to, runs those
-	// that may have run it.
+	// attempts counts the targets to which the request was offered,
+	// possibleRuns those that may have run it.
 	attempts     int
 	possibleRuns int
-	// delivered tells how far the answer to the caller is.
+	// headersSent is set once the caller has received the headers of a stream.
+	// lastEventID is the last event that the caller has received.
 	headersSent bool
 	lastEventID int64
-	// failedResponse is the answer of a target that failed, passed on at the end if
-	// nothing better comes.
+	// failedResponse is the error response of a target, returned to the caller
+	// if no later attempt succeeds.
 	failedResponse *bufferedResponse
 	targetID       string
 	reason         string
@@ -130,7 +137,7 @@
 	c.chargedCost = 0
 }
 
-// admit decodes the request and checks what it may do.
+// admit decodes the request and checks that it is allowed.
 func (c *call) admit() *refusal {
 	var err error
 	if c.request, err = c.Codec.Request(c.r.Header); err != nil {
@@ -160,8 +167,8 @@
 	return c.chargeQuota()
 }
 
-// awaitState waits for the core while it is expected back. A caller mostly has
-// one more attempt only, which a refusal would use up.
+// awaitState waits for a usable state while one is expected soon. Most callers
+// retry only once, and a rejection would use up that retry.
 func (c *call) awaitState() {
 	wait := maxStateWait
 	if c.request.Limit > 0 {
@@ -198,8 +205,9 @@
 	return nil
 }
 
-// stateExpired reports whether the knowledge of keys is too old: a key that was
-// withdrawn must stop working also on a VM that is cut off.
+// stateExpired reports whether the confirmation of the state is too old to
+// accept keys. A withdrawn key must stop working also on a VM that has lost its
+// connection to the core.
 func (c *call) stateExpired() bool {
 	return c.KeysValid > 0 && c.Boot()-c.state.Confirmed > c.KeysValid
 }
@@ -233,7 +241,7 @@
 	return nil
 }
 
-// buildPlacementRequest says what placement has to know.
+// buildPlacementRequest sets what placement needs to know about the request.
 func (c *call) buildPlacementRequest() {
 	c.placementRequest = placement.Request{Service: c.service}
 	service := c.state.Table.Service(c.service)
@@ -253,7 +261,8 @@
 	}
 }
 
-// cacheScope separates the cached parts of isolated workspaces from all others.
+// cacheScope returns the scope within which cached parts are shared: one for
+// each isolated workspace, and one for all others.
 func (c *call) cacheScope() string {
 	if c.workspace != nil && c.workspace.Isolated {
 		return "isolated-" + c.workspace.Name
@@ -261,7 +270,7 @@
 	return "shared"
 }
 
-// chargeQuota takes the request's cost from the quota of its workspace.
+// chargeQuota charges the cost of the request to the quota of its workspace.
 func (c *call) chargeQuota() *refusal {
 	if c.workspace == nil || c.workspace.Rate <= 0 {
 		return nil
@@ -284,7 +293,7 @@
 	return nil
 }
 
-// sleep waits and reports false if the caller has left.
+// sleep waits for d. It reports false if the caller disconnects first.
 func (c *call) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -303,14 +312,14 @@
 	return c.route.Priority
 }
 
-// run offers the request to targets until one has answered it.
+// run sends the request to one target after another until it is finished.
 func (c *call) run() *refusal {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
 	for {
-		choice, known := c.Placer.Choose(c.placementRequest)
+		choice, total := c.Placer.Choose(c.placementRequest)
 		if choice == nil {
-			c.addReason(fmt.Sprintf("none of %d targets of %s is usable", known, c.service))
+			c.addReason(fmt.Sprintf("no usable target among the %d of service %s", total, c.service))
 			return c.endWithoutTarget()
 		}
 		if c.attempts > 0 && !c.Budget.TakeRetry(c.service, time.Now(), c.state.Fronts) {
@@ -326,7 +335,7 @@
 		if done, f := c.afterAttempt(result); done {
 			return f
 		}
-		c.Logger.Info("sent again", zap.String("id", c.request.ID), zap.String("target", c.targetID),
+		c.Logger.Info("retrying request after failed attempt", zap.String("id", c.request.ID), zap.String("target", c.targetID),
 			zap.String("result", result.String()), zap.String("reason", c.reason), zap.Int64("last_event", c.lastEventID))
 		if result != resultOtherWeights {
 			c.placementRequest.Exclude = append(c.placementRequest.Exclude, choice.Target.ID)
@@ -334,7 +343,7 @@
 	}
 }
 
-// addReason adds a reason to the line of the request.
+// addReason appends a reason to the log entry of the request.
 func (c *call) addReason(reason string) {
 	if c.reason != "" {
 		c.reason += "; "
@@ -342,7 +351,8 @@
 	c.reason += reason
 }
 
-// afterAttempt says whether the request is finished after a send.
+// afterAttempt reports whether the request is finished after an attempt, and
+// with which refusal.
 func (c *call) afterAttempt(result result) (bool, *refusal) {
 	if result == resultDelivered {
 		return true, nil
@@ -365,7 +375,8 @@
 	return false, nil
 }
 
-// endWithoutTarget is the end of a request that no further target can take.
+// endWithoutTarget returns the refusal of a request for which no further target
+// is available.
 func (c *call) endWithoutTarget() *refusal {
 	switch {
 	case c.headersSent || c.possibleRuns > 0:
@@ -376,8 +387,9 @@
 	return &errNoTarget
 }
 
-// endFailed finishes a request that may have run: with the answer of the target that
-// failed it, or by breaking off what the caller has got in part.
+// endFailed finishes a request that may have run. The caller gets the error
+// response of the target, if there is one and no headers were sent; a stream
+// that has begun is aborted.
 func (c *call) endFailed(f *refusal) *refusal {
 	switch {
 	case c.headersSent:
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -9,8 +9,8 @@
 	"github.com/cuminwing/cuminwing/internal/gateway"
 )
 
-// finish writes the line of the request and ends the connection if the answer
-// is not whole.
+// finish writes the log entry of the request, and aborts the connection to the
+// caller if the response is incomplete.
 func (c *call) finish(code string) {
 	took := time.Since(c.started)
 	kind := gateway.RunOnce
@@ -29,8 +29,8 @@
 	}
 }
 
-// logMessage keeps failed requests apart, so that sampling under load leaves out
-// answered ones first.
+// logMessage returns separate messages for successful and failed requests, so
+// that log sampling under load drops successful ones first.
 func logMessage(code string) string {
 	if code == "ok" {
 		return "request"
@@ -38,7 +38,8 @@
 	return "request failed"
 }
 
-// admissionFields are the inputs of admission, with their version and age.
+// admissionFields returns the log fields of admission, with the version and age
+// of the state that it used.
 func (c *call) admissionFields() []zap.Field {
 	var fields []zap.Field
 	if c.state.Table != nil {
@@ -54,8 +55,8 @@
 	return fields
 }
 
-// placementFields say where the request went, and what was believed of the last
-// target that was chosen.
+// placementFields returns the log fields of placement: the last target that was
+// chosen, and what placement assumed about it.
 func (c *call) placementFields() []zap.Field {
 	fields := []zap.Field{zap.String("target", c.targetID), zap.Int("sends", c.attempts), zap.Int("runs", c.possibleRuns)}
 	if c.choice == nil || c.request.PromptTokens == 0 {
--- a/internal/forward/ports.go
+++ b/internal/forward/ports.go
@@ -1,6 +1,6 @@
-// Package forward carries the requests of callers to targets byte for byte:
-// admission by key, quota and route, choice of target, repeated sends where
-// they are allowed, and streams that go on at another engine.
+// Package forward proxies the requests of callers to targets byte for byte. It
+// does admission by key, quota and route, chooses a target, retries where the
+// route permits it, and resumes streams at another engine.
 package forward
 
 import (
@@ -11,101 +11,106 @@
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
 
-// Request is what the headers of a caller's request say.
+// Request is the information in the headers of a caller's request.
 type Request struct {
-	// ID is the caller's name of this attempt.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Limit is how long the caller waits; 0 if it does not say.
+	// Limit is how long the caller waits; 0 if it is not stated.
 	Limit time.Duration
-	// Key is the caller's key; empty without one.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// PromptTokens and OutputTokens are the size of a model request; Sized is
-	// false if it is not stated.
+	// PromptTokens and OutputTokens are the size of a model request. Sized is
+	// false if the size is not stated.
 	PromptTokens int
 	OutputTokens int
 	Sized        bool
-	// Parts are the parts of the prompt, the last of them the request's own.
+	// Parts are the parts of the prompt. The last one belongs to this request
+	// only.
 	Parts []PromptPart
-	// ResumeAfter is the last event that the caller has, if it resumes a
-	// stream.
+	// ResumeAfter is the last event that the caller has received, if it resumes
+	// a stream.
 	ResumeAfter string
 }
 
-// PromptPart is one part of a prompt.
 type PromptPart struct {
 	Name   string
 	Tokens int
 }
 
-// Attempt is what a target is told beside the caller's own headers.
+// Attempt is the information sent to a target in addition to the caller's own
+// headers.
 type Attempt struct {
 	TargetID string
-	// Workspace owns the key; empty on open routes.
+	// Workspace is the owner of the key; empty if the request has no known key.
 	Workspace string
-	// Limit is the time left for the answer.
+	// Limit is the time left for the response.
 	Limit time.Duration
-	// Priority is 0 for the most urgent.
+	// Priority is the priority of the request; 0 is the highest.
 	Priority int
-	// Scope separates cached parts that must not be shared; empty for plain
+	// Scope limits which requests may share cached parts; empty for plain
 	// services.
 	Scope string
-	// Weights is the version that the engine must run; 0 takes any.
+	// Weights is the version of the model weights that the engine must run; 0
+	// accepts any.
 	Weights uint64
 	// FetchFrom is the address of an engine or store that holds parts of the
 	// prompt.
 	FetchFrom string
-	// SaveTo is the address of a store that takes what the engine reads.
+	// SaveTo is the address of the store to which the engine saves the parts
+	// that it prefills.
 	SaveTo string
-	// ResumeAfter is the last event that was delivered.
+	// ResumeAfter is the last event delivered to the caller.
 	ResumeAfter string
 }
 
-// Answer is what the headers of a target's answer say.
+// Answer is the information in the headers of a target's response.
 type Answer struct {
 	RequestID string
-	// Signed is true if the answer bears the target's signature.
+	// Signed is true if the response has the target's signature.
 	Signed bool
-	// NotRun is true if the target states that it has not run the request.
+	// NotRun is true if the target states that it did not run the request.
 	NotRun bool
-	// Misdirected is true if another target has the address.
+	// Misdirected is true if the address now belongs to another target.
 	Misdirected bool
-	// OtherWeights is true if the engine does not run the version asked for;
-	// Weights is then what it runs, if it says so.
+	// OtherWeights is true if the engine does not run the requested version.
+	// Weights is then the version that it runs, if stated.
 	OtherWeights bool
 	Weights      uint64
 }
 
-// Codec translates headers. It holds no state.
+// Codec translates between headers and the types of this package. It is
+// stateless.
 type Codec interface {
 	Request(h http.Header) (Request, error)
-	// Outgoing returns the headers of an attempt: those of the caller that are
-	// passed on, and those that the system sets.
+	// Outgoing returns the headers of an attempt: the caller's headers that are
+	// passed on and those set by the front.
 	Outgoing(caller http.Header, a *Attempt) http.Header
 	Answer(status int, h http.Header, targetID string) Answer
-	// Reply adds the headers of an answer that the caller gets.
-	Reply(caller, answer http.Header)
+	// Reply copies the headers of a response that are passed on to the caller.
+	Reply(caller, response http.Header)
 }
 
-// State is what a front knows at the time of a request.
+// State is the cluster state that a front uses for a request.
 type State struct {
-	// Table is nil before the first document.
+	// Table is nil until the first configuration document arrives.
 	Table *gateway.Table
-	// Weights maps models to the version that engines have to run.
+	// Weights maps each model to the version that engines have to run.
 	Weights map[string]uint64
-	// Confirmed is when a quorum has confirmed this state, on the clock that
-	// does not stop during a suspension.
+	// Confirmed is when a quorum last confirmed this state, on a clock that
+	// continues during a suspension.
 	Confirmed time.Duration
-	// Fronts is the number of VMs that share budgets.
+	// Fronts is the number of VMs that share the retry budgets.
 	Fronts int
 }
 
-// Quota admits requests by the fleet-wide rate of their workspace.
+// Quota enforces the rate limits of workspaces, which apply to the fleet as a
+// whole.
 type Quota interface {
 	Admit(now time.Duration, workspace string, rate, burst, tokens float64) (wait time.Duration, ok bool)
 	Refund(workspace string, tokens float64)
 }
 
-// Placer chooses targets.
+// Placer chooses targets and is told the outcome of each attempt.
 type Placer interface {
 	Choose(want placement.Request) (*placement.Choice, int)
 	RecordFirstByte(c *placement.Choice)
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// refusal is an answer of this VM itself.
+// refusal is an error response that this VM generates itself.
 type refusal struct {
 	status int
 	code   string
-	// retryAfter is when another attempt makes sense; 0 if that is unknown or
-	// the request may have run.
+	// retryAfter is the time after which the caller should retry; 0 if it is
+	// not known or the request may have run.
 	retryAfter time.Duration
 }
 
@@ -28,20 +28,21 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(f.status)
-	// A failure here means that the caller has left.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write(body)
 }
 
 const (
-	// targetRetryAfter is the Retry-After while the targets are full or not known.
+	// targetRetryAfter is the Retry-After value while targets are overloaded or
+	// none is known.
 	targetRetryAfter = 500 * time.Millisecond
-	// electionRetryAfter is the Retry-After while the core cannot be reached: an
-	// election, and the time until the front has found the new leader.
+	// electionRetryAfter is the Retry-After value while the core cannot be
+	// reached: the duration of an election, and the time until the front has
+	// found the new leader.
 	electionRetryAfter = 1200 * time.Millisecond
 )
 
-// The refusals. Those with 429 or 503 mean that the request has not run and
-// will not run.
+// Status 429 and 503 guarantee that the request has not run and will not run.
 var (
 	errNoConfiguration  = refusal{http.StatusServiceUnavailable, "no_configuration", electionRetryAfter}
 	errKeysNotConfirmed = refusal{http.StatusServiceUnavailable, "keys_not_confirmed", electionRetryAfter}
@@ -56,9 +57,9 @@
 	errTimeout          = refusal{http.StatusGatewayTimeout, "timeout", 0}
 )
 
-// errAborted ends the connection to the caller, because the answer that it has
-// got in part cannot be completed.
+// errAborted aborts the connection to the caller, because the response that it
+// has received in part cannot be completed.
 var errAborted = refusal{0, "aborted", 0}
 
-// errCallerLeft means that the caller has left.
+// errCallerLeft means that the caller has disconnected.
 var errCallerLeft = refusal{0, "caller_left", 0}
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -17,29 +17,33 @@
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
 
-// result is what one send came to.
+// result is the outcome of one attempt.
 type result uint8
 
 const (
-	// resultDelivered means that the answer was delivered whole.
+	// resultDelivered means that the complete response was delivered.
 	resultDelivered result = iota
-	// resultNotSent means that no target can have seen the request whole.
+	// resultNotSent means that no target can have received the complete
+	// request.
 	resultNotSent
-	// resultCanceledUnsent means that the caller has left, or the time was up, before
-	// anything was sent.
+	// resultCanceledUnsent means that the caller disconnected or the deadline
+	// passed before anything was sent.
 	resultCanceledUnsent
-	// resultRefused means that the target has stated not to have run it.
+	// resultRefused means that the target states that it did not run the
+	// request.
 	resultRefused
-	// resultMisdirected means that another target has the address.
+	// resultMisdirected means that the address now belongs to another target.
 	resultMisdirected
-	// resultOtherWeights means that the engine runs other weights than expected.
+	// resultOtherWeights means that the engine does not run the expected
+	// weights.
 	resultOtherWeights
-	// resultFailed is a failure that the target has answered.
+	// resultFailed means that the target returned an error response.
 	resultFailed
-	// resultBroken is a broken connection, silence, or an answer that cannot
-	// be used.
+	// resultBroken means that the connection broke, that the target did not
+	// respond, or that the response is unusable.
 	resultBroken
-	// resultCanceledSent means that the caller has left or the time is up.
+	// resultCanceledSent means that the caller disconnected or the deadline
+	// passed after the request may have been sent.
 	resultCanceledSent
 )
 
@@ -53,28 +57,30 @@
 
 func (r result) placement() placement.Result {
 	return [...]placement.Result{
-		placement.Answered, placement.Unreachable, placement.Canceled, placement.Rejected, placement.Misdirected, placement.Canceled,
+		placement.Completed, placement.Unreachable, placement.Canceled, placement.Rejected, placement.Misdirected, placement.Canceled,
 		placement.Failed, placement.Failed, placement.Canceled,
 	}[r]
 }
 
 const (
-	// maxIdleOnce is how long a connection may have been idle for a request that
-	// runs at most once: a target that has gone silent is then noticed while
-	// the connection is opened, when the request can still go elsewhere.
+	// maxIdleOnce is the longest idle time of a pooled connection for a request
+	// that runs at most once. An unresponsive target is then detected while a
+	// new connection is opened, when the request can still go to another
+	// target.
 	maxIdleOnce = 500 * time.Millisecond
 	// maxIdleRetryable applies to all other requests.
 	maxIdleRetryable = time.Minute
-	// concurrentBodyBytes is the size from which a body is written while the
-	// answer is read, because a target may answer before it has read it all.
+	// concurrentBodyBytes is the size from which the body is written while the
+	// response is read, because a target may respond before it has read the
+	// complete body.
 	concurrentBodyBytes = 8 << 10
-	// maxStrayResponses bounds answers to earlier requests that are skipped.
+	// maxStrayResponses limits the skipped responses to earlier requests.
 	maxStrayResponses = 4
-	// maxResponseBytes bounds an answer that is read whole.
+	// maxResponseBytes limits a response that is buffered.
 	maxResponseBytes = 32 << 20
 )
 
-// send offers the request to one target.
+// send sends the request to one target and delivers the response.
 func (c *call) send(ctx context.Context, choice *placement.Choice) result {
 	maxIdle := maxIdleOnce
 	if c.route.Retryable() {
@@ -102,15 +108,16 @@
 	return result
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	*call
 	conn    *targetconn.Conn
 	choice  *placement.Choice
 	context context.Context
-	// bodyDone yields the result of a body that is written concurrently.
+	// bodyDone delivers the result of writing the body concurrently.
 	bodyDone chan error
-	// reusableAfter is the answer after which the connection can be used again.
+	// reusableAfter is the response after which the connection can be reused;
+	// nil if it cannot be.
 	reusableAfter *http.Response
 }
 
@@ -140,8 +147,9 @@
 	return s.forwardBuffered(resp, meta)
 }
 
-// errIncompleteWrite means that the target cannot have got the request whole.
-var errIncompleteWrite = errors.New("request was written in part")
+// errIncompleteWrite means that the target cannot have received the complete
+// request.
+var errIncompleteWrite = errors.New("request was only partly written")
 
 func (s *exchange) writeFailure(err error) result {
 	if errors.Is(err, errIncompleteWrite) {
@@ -150,7 +158,7 @@
 	return resultBroken
 }
 
-// requestHead returns the request line and headers as they go to the target.
+// requestHead returns the request line and headers of the attempt.
 func (s *exchange) requestHead() []byte {
 	a := &Attempt{
 		TargetID:    s.choice.Target.ID,
@@ -182,9 +190,9 @@
 	return b.Bytes()
 }
 
-// setCacheFields says which cached parts the engine may use. The scope names the
-// weights, and the engine must run these: what is cached under a scope was then
-// made with its weights, wherever it is fetched from.
+// setCacheFields sets which cached parts the engine may use. The scope contains
+// the version of the weights that the engine must run, so everything cached
+// under a scope was computed with these weights, wherever it is fetched from.
 func (s *exchange) setCacheFields(a *Attempt) {
 	if len(s.placementRequest.Parts) == 0 {
 		return
@@ -200,7 +208,7 @@
 	}
 }
 
-// requestURI returns the path and query as the caller sent them.
+// requestURI returns the path and query exactly as the caller sent them.
 func (s *exchange) requestURI() string {
 	if uri := s.r.RequestURI; len(uri) > 0 && uri[0] == '/' {
 		return uri
@@ -208,8 +216,8 @@
 	return s.r.URL.RequestURI()
 }
 
-// writeHeaders writes headers in a fixed order. The server that parsed them
-// has refused names and values with line breaks.
+// writeHeaders writes the headers in sorted order. Names and values contain no
+// line breaks: the server that parsed them rejects those.
 func writeHeaders(b *bytes.Buffer, h http.Header) {
 	names := make([]string, 0, len(h))
 	for name := range h {
@@ -226,7 +234,7 @@
 	}
 }
 
-// write sends the request. A large body is sent while the answer is read.
+// write sends the request. A large body is sent while the response is read.
 func (s *exchange) write(head []byte) error {
 	if len(s.body) < concurrentBodyBytes {
 		n, err := s.conn.Write(append(head, s.body...))
@@ -249,7 +257,8 @@
 	return nil
 }
 
-// bodyWritten reports whether the body was sent whole, without waiting.
+// bodyWritten reports, without blocking, whether the complete body has been
+// sent.
 func (s *exchange) bodyWritten() bool {
 	if s.bodyDone == nil {
 		return true
@@ -262,8 +271,8 @@
 	}
 }
 
-// readResponse returns the answer to this request. Answers to earlier requests on the
-// connection are skipped; they are known by their request ID.
+// readResponse returns the response to this request. Responses to earlier
+// requests on the connection have another request ID and are skipped.
 func (s *exchange) readResponse() (*http.Response, Answer, error) {
 	for range maxStrayResponses {
 		resp, err := http.ReadResponse(s.conn.Reader, &http.Request{Method: s.r.Method})
@@ -274,7 +283,7 @@
 		if meta.RequestID == s.request.ID || meta.RequestID == "" && meta.NotRun {
 			return resp, meta, nil
 		}
-		s.Logger.Info("answer to another request skipped")
+		s.Logger.Info("skipped response to an earlier request on the same connection")
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 			return nil, Answer{}, err
 		}
@@ -282,47 +291,48 @@
 			break
 		}
 	}
-	return nil, Answer{}, errors.New("target sent answers to other requests")
+	return nil, Answer{}, errors.New("target sent only responses to other requests")
 }
 
-// discard reads the rest of an answer that the caller does not get.
+// discard reads the rest of a response that the caller does not get, so that
+// the connection can be reused.
 func (s *exchange) discard(resp *http.Response, result result) result {
-	s.reason = "target answered " + resp.Status
+	s.reason = "target refused the request with " + resp.Status
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err == nil {
 		s.reusableAfter = resp
 	}
 	return result
 }
 
-// bufferedResponse is an answer that was read to its end.
+// bufferedResponse is a response that was read completely.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// forwardBuffered reads an answer to its end before the caller gets any of it.
+// forwardBuffered reads the complete response before the caller gets any of it.
 func (s *exchange) forwardBuffered(resp *http.Response, meta Answer) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		s.reason = "answer broke off: " + err.Error()
+		s.reason = "response truncated: " + err.Error()
 		return resultBroken
 	}
 	s.reusableAfter = resp
 	if !meta.Signed {
-		s.reason = "answer without signature"
+		s.reason = "response without the target's signature"
 		s.reusableAfter = nil
 		return resultBroken
 	}
 	buffered := &bufferedResponse{resp.StatusCode, resp.Header, body}
 	if impliesNotRun(resp.StatusCode) {
-		// The target has not stated that it did not run the request, so the
-		// caller must not read that from the status.
-		s.reason = "target failed with " + resp.Status
+		// The target did not state that the request has not run, so the caller
+		// must not get a status that implies it.
+		s.reason = "target returned status " + resp.Status
 		return resultFailed
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		s.reason = "target failed with " + resp.Status
+		s.reason = "target returned status " + resp.Status
 		s.failedResponse = buffered
 		return resultFailed
 	}
@@ -330,8 +340,8 @@
 	return resultDelivered
 }
 
-// impliesNotRun reports whether callers take a status as the promise that the
-// request has not run.
+// impliesNotRun reports whether callers may take a status as a guarantee that
+// the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -345,14 +355,14 @@
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
 	c.firstByteAfter = time.Since(c.started)
 	c.w.WriteHeader(b.status)
-	// A failure here means that the caller has left.
+	// A write error means that the caller has disconnected.
 	_, _ = c.w.Write(b.body)
 }
 
-// forwardStream passes events on as they arrive.
+// forwardStream passes on the events of a stream as they arrive.
 func (s *exchange) forwardStream(resp *http.Response, meta Answer) result {
 	if !meta.Signed {
-		s.reason = "answer without signature"
+		s.reason = "response without the target's signature"
 		return resultBroken
 	}
 	events := eventReader{src: bufio.NewReader(resp.Body)}
@@ -369,11 +379,11 @@
 			s.beginStream(resp)
 		}
 		if _, err := s.w.Write(e.data); err != nil {
-			s.reason = "caller does not read: " + err.Error()
+			s.reason = "write to caller failed: " + err.Error()
 			return resultCanceledSent
 		}
 		if err := flusher.Flush(); err != nil {
-			s.reason = "caller does not read: " + err.Error()
+			s.reason = "write to caller failed: " + err.Error()
 			return resultCanceledSent
 		}
 		if e.id >= 0 {
@@ -389,8 +399,8 @@
 	s.firstByteAfter = time.Since(s.started)
 }
 
-// endStream passes on what follows the last whole event if the stream has
-// ended and did not break off.
+// endStream passes on the bytes after the last complete event if the stream has
+// ended regularly.
 func (s *exchange) endStream(resp *http.Response, rest event, err error) result {
 	if !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		s.reason = "stream broke off: " + err.Error()
@@ -399,7 +409,7 @@
 	if !s.headersSent {
 		s.beginStream(resp)
 	}
-	// A failure here means that the caller has left.
+	// A write error means that the caller has disconnected.
 	_, _ = s.w.Write(rest.data)
 	s.reusableAfter = resp
 	return resultDelivered
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -12,10 +12,10 @@
 	c.firstByteSeen = true
 	m := c.member
 	now := p.Clock()
-	extra := max(0, float64(now.Sub(c.sentAt)-c.Expected)/float64(time.Millisecond)+c.includedWaitMS)
+	observedWait := max(0, float64(now.Sub(c.sentAt)-c.Expected)/float64(time.Millisecond)+c.includedWaitMS)
 	// The mean of the decayed wait and the new one follows a change quickly and
 	// still smooths single slow responses.
-	m.waitMS = (m.currentWait(now) + extra) / 2
+	m.waitMS = (m.currentWait(now) + observedWait) / 2
 	m.waitAt = now
 	m.down = false
 }
@@ -24,8 +24,8 @@
 type Result uint8
 
 const (
-	// Answered means that the target sent a complete response.
-	Answered Result = iota
+	// Completed means that the target sent a complete response.
+	Completed Result = iota
 	// Failed means an error response, a truncated response or a timeout.
 	Failed
 	// Unreachable means that no connection could be opened, or that it broke
@@ -51,12 +51,12 @@
 	m := c.member
 	m.inflight--
 	now := p.Clock()
-	if !c.firstByteSeen && result != Answered {
+	if !c.firstByteSeen && result != Completed {
 		m.addBacklog(now, -c.workMS)
 	}
 	c.firstByteSeen = true
 	switch result {
-	case Answered:
+	case Completed:
 		m.recordOutcome(now, 0)
 	case Failed:
 		m.recordOutcome(now, 1)
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -106,7 +106,7 @@
 		}
 		where[subject] = c.Target.ID
 		p.RecordFirstByte(c)
-		p.Done(c, Answered)
+		p.Done(c, Completed)
 		clock.advance(time.Second)
 	}
 }
--- a/internal/placement/store_test.go
+++ b/internal/placement/store_test.go
@@ -18,7 +18,7 @@
 
 func completeRequest(p *Placer, c *Choice) {
 	p.RecordFirstByte(c)
-	p.Done(c, Answered)
+	p.Done(c, Completed)
 }
 
 // Scenario with more subjects than the engines can cache: guards against shared
@@ -43,8 +43,8 @@
 		if c.FetchFrom.Address == storeAddress && c.SaveTo != "" {
 			t.Fatalf("parts of subject %d are saved again although they come from the store", i)
 		}
-		if whole := time.Duration(prefillMS(9200, 0) * float64(time.Millisecond)); c.Expected >= whole {
-			t.Errorf("subject %d has an expected time to first byte of %v, no less than a full prefill of %v", i, c.Expected, whole)
+		if fullPrefill := time.Duration(prefillMS(9200, 0) * float64(time.Millisecond)); c.Expected >= fullPrefill {
+			t.Errorf("subject %d has an expected time to first byte of %v, no less than a full prefill of %v", i, c.Expected, fullPrefill)
 		}
 		completeRequest(p, c)
 		clock.advance(300 * time.Millisecond)
