--- a/internal/gateway/document.go
+++ b/internal/gateway/document.go
@@ -1,6 +1,6 @@
-// Package gateway holds the document of routes, services and workspaces by
-// which a front VM forwards requests byte for byte, and the table compiled from
-// it. The package does no I/O.
+// Package gateway holds the configuration document of routes, services and
+// workspaces that front VMs apply, and the lookup table compiled from it. The
+// package does no I/O.
 package gateway
 
 import (
@@ -12,21 +12,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RunKind says how often a request on a route may run.
+// RunKind states how often a request on a route may run.
 type RunKind uint8
 
-// The kinds of run.
 const (
 	// RunOnce requests run at most once.
 	RunOnce RunKind = iota
-	// RunIdempotent requests may run again.
+	// RunIdempotent requests may run more than once.
 	RunIdempotent
 	// RunStream requests are answered by a stream of events. They run at most
 	// once unless the route is resumable.
 	RunStream
 )
 
-// Share is the part of a route's requests that one service gets.
+// Share is the weight of one service in the traffic split of a route.
 type Share struct {
 	Service string
 	Weight  float64
@@ -38,78 +37,84 @@
 	Host       string
 	PathPrefix string
 	Kind       RunKind
-	// Timeout is the longest time that a request may take.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to the first event of a stream,
-	// within which an answer is on time.
+	// Objective is the latency objective: the maximum time to the response, or
+	// to the first event of a stream.
 	Objective time.Duration
-	// MaxPause is the longest pause between events of a stream on time.
+	// MaxPause is the maximum time between two events of a stream that meets
+	// its objective.
 	MaxPause time.Duration
-	// Priority is the rank of the route; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
 	Split    []Share
-	// MaxAttempts bounds the targets at which one request may run.
+	// MaxAttempts limits the number of targets that may run one request.
 	MaxAttempts int
-	// Open routes need no key.
+	// Open routes require no key.
 	Open bool
-	// Cached routes carry prompts whose parts engines cache.
+	// Cached routes carry prompts whose parts the engines cache.
 	Cached bool
-	// Resumable streams may go on at another engine.
+	// Resumable streams may continue at another engine after a failure.
 	Resumable bool
 }
 
-// Retryable reports whether a request that may have run can be sent again.
+// Retryable reports whether a request can be retried after a target may have
+// run it.
 func (r *Route) Retryable() bool {
 	return r.Kind == RunIdempotent || r.Kind == RunStream && r.Resumable
 }
 
 // EngineLimits describes the engines of a service.
 type EngineLimits struct {
-	// CacheTokens is the memory for running requests and cached parts.
+	// CacheTokens is the memory for running requests and cached parts, in
+	// tokens.
 	CacheTokens int
-	// TokenBytes is the size of a token in that memory.
+	// TokenBytes is the size of a token in that memory, in bytes.
 	TokenBytes float64
 	Models     []string
 }
 
-// Store keeps parts of prompts for the engines and gets no requests.
+// Store is a server that caches parts of prompts for the engines. It gets no
+// requests.
 type Store struct {
 	Address string
 	Zone    string
-	// Tokens is its memory.
+	// Tokens is the capacity of the store.
 	Tokens int
-	// Rate is that of its link, in bytes a second.
+	// Rate is the bandwidth of the store's link, in bytes per second.
 	Rate float64
 }
 
-// Service is a group of equal targets.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one target from all VMs.
+	// MaxConnections limits the connections to one target from all VMs
+	// together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *EngineLimits
-	// Store is set for a store of KV cache.
+	// Store is set if the service is a store for KV cache.
 	Store *Store
 }
 
-// Workspace is one customer.
+// Workspace is one customer, with its keys and quota.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over that of the route; nil if unset.
+	// Priority overrides the priority of the route; nil if unset.
 	Priority *int
-	// TokenUnit means that the quota counts tokens rather than requests.
+	// TokenUnit is set if the quota counts tokens rather than requests.
 	TokenUnit bool
-	// PlainTokens is what a request without token counts costs.
+	// PlainTokens is the cost of a request that states no token counts.
 	PlainTokens float64
-	// Isolated workspaces share no cached part with others.
+	// Isolated workspaces do not share cached parts with others.
 	Isolated bool
-	// Rate (per second) and Burst limit all VMs together; 0 is unlimited.
+	// Rate (per second) and Burst limit the workspace across all VMs; 0 means
+	// unlimited.
 	Rate, Burst float64
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on requests and connections of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -133,7 +138,7 @@
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// Validate checks the references and values of the document.
+// Validate checks the document's values and the references between them.
 func (d *Document) Validate() error {
 	services := make(map[string]bool)
 	for i := range d.Services {
@@ -150,7 +155,7 @@
 		}
 		match := r.Host + "\x00" + r.PathPrefix
 		if other, ok := routeByMatch[match]; ok {
-			return invalid("routes %q and %q share host and prefix", other, r.Name)
+			return invalid("routes %q and %q have the same host and path prefix", other, r.Name)
 		}
 		routeByMatch[match] = r.Name
 	}
@@ -162,12 +167,12 @@
 		return invalid("route %q has no timeout", r.Name)
 	}
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-		return invalid("route %q has prefix %q", r.Name, r.PathPrefix)
+		return invalid("route %q has path prefix %q, which must start and end with /", r.Name, r.PathPrefix)
 	}
 	total := 0.0
 	for _, share := range r.Split {
 		if !services[share.Service] {
-			return invalid("route %q names the unknown service %q", r.Name, share.Service)
+			return invalid("route %q refers to unknown service %q", r.Name, share.Service)
 		}
 		if share.Weight < 0 {
 			return invalid("route %q has a negative weight", r.Name)
@@ -194,11 +199,12 @@
 	return nil
 }
 
-// Table answers which route and workspace a request belongs to. It is
+// Table looks up the route, service and workspace of a request. It is
 // immutable.
 type Table struct {
 	Document *Document
-	// hosts maps a host to its routes, the longest prefix first.
+	// hosts maps a host to its routes, sorted by descending length of the
+	// prefix.
 	hosts      map[string][]*Route
 	services   map[string]*Service
 	keys       map[[sha256.Size]byte]*Workspace
@@ -239,7 +245,7 @@
 	t.hosts[host] = routes
 }
 
-// Route returns the route of a request, or nil.
+// Route returns the most specific route for a host and path, or nil.
 func (t *Table) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes := t.hosts[host]
@@ -256,11 +262,11 @@
 	return nil
 }
 
-// Service returns a service, or nil.
+// Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// MaxConnections returns how many connections a target of a service accepts
-// from all VMs together; 0 if it is not known.
+// MaxConnections returns the number of connections that a target of the service
+// accepts from all VMs together; 0 if it is not known.
 func (t *Table) MaxConnections(service string) int {
 	if s := t.services[service]; s != nil {
 		return s.MaxConnections
@@ -268,8 +274,8 @@
 	return 0
 }
 
-// CacheTokens returns the memory of an engine of a service; 0 if it is not
-// known.
+// CacheTokens returns the memory of an engine of the service in tokens; 0 if it
+// is not known.
 func (t *Table) CacheTokens(service string) int {
 	if s := t.services[service]; s != nil && s.Engine != nil {
 		return s.Engine.CacheTokens
@@ -277,8 +283,8 @@
 	return 0
 }
 
-// TokenBytes returns the largest size of a token in the memory of engines; 0
-// if no service has engines.
+// TokenBytes returns the size of a token in the memory of the engines, the
+// largest one if services differ; 0 if no service has engines.
 func (t *Table) TokenBytes() float64 {
 	size := 0.0
 	for _, s := range t.services {
@@ -289,14 +295,14 @@
 	return size
 }
 
-// Owner returns the workspace that owns a key, or nil. The key is compared by
-// its hash, so that the time does not depend on how much of it matches.
+// Owner returns the workspace that owns a key, or nil. The lookup is by the
+// key's hash, so that its duration does not reveal how much of the key matches.
 func (t *Table) Owner(key string) *Workspace { return t.keys[sha256.Sum256([]byte(key))] }
 
 // Workspace returns a workspace by name, or nil.
 func (t *Table) Workspace(name string) *Workspace { return t.workspaces[name] }
 
-// Pick chooses a service of the split by a number in [0, 1).
+// Pick selects a service by weight, given a random number x in [0, 1).
 func (r *Route) Pick(x float64) string {
 	total := 0.0
 	for _, s := range r.Split {
--- a/internal/gateway/document_test.go
+++ b/internal/gateway/document_test.go
@@ -19,39 +19,39 @@
 	}
 }
 
-// Guards against documents that must not be in force.
+// Guards against accepting invalid documents.
 func TestInvalidDocumentsAreRefused(t *testing.T) {
 	if err := validDocument().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(*Document){
-		"unknown service": func(d *Document) { d.Routes[0].Split[0].Service = "u" },
-		"no timeout":      func(d *Document) { d.Routes[1].Timeout = 0 },
-		"no weight":       func(d *Document) { d.Routes[0].Split[0].Weight = 0 },
-		"negative weight": func(d *Document) { d.Routes[2].Split[0].Weight = -1 },
-		"same place":      func(d *Document) { d.Routes[2].PathPrefix = "/x/y/" },
-		"prefix":          func(d *Document) { d.Routes[2].PathPrefix = "/x" },
-		"shared key":      func(d *Document) { d.Workspaces[1].Keys = []string{"k2"} },
-		"unnamed service": func(d *Document) { d.Services[1].Name = "" },
+		"unknown service":           func(d *Document) { d.Routes[0].Split[0].Service = "u" },
+		"no timeout":                func(d *Document) { d.Routes[1].Timeout = 0 },
+		"no weight":                 func(d *Document) { d.Routes[0].Split[0].Weight = 0 },
+		"negative weight":           func(d *Document) { d.Routes[2].Split[0].Weight = -1 },
+		"duplicate host and prefix": func(d *Document) { d.Routes[2].PathPrefix = "/x/y/" },
+		"malformed prefix":          func(d *Document) { d.Routes[2].PathPrefix = "/x" },
+		"shared key":                func(d *Document) { d.Workspaces[1].Keys = []string{"k2"} },
+		"unnamed service":           func(d *Document) { d.Services[1].Name = "" },
 	} {
 		d := validDocument()
 		change(d)
 		if err := d.Validate(); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s: %v, want ErrInvalid", name, err)
+			t.Errorf("document with %s: got error %v, want ErrInvalid", name, err)
 		}
 	}
 }
 
-// Guards against requests that are handled by a less specific route.
+// Guards against requests that match a less specific route than possible.
 func TestTheLongestPrefixOfTheHostDecides(t *testing.T) {
 	table := Compile(validDocument())
 	for path, want := range map[string]string{"/x/y/z": "deep", "/x/z": "mid", "/z": "all", "/x": "all"} {
 		if r := table.Route("A.example:8080", path); r == nil || r.Name != want {
-			t.Errorf("%s is handled by %v, want %s", path, r, want)
+			t.Errorf("path %s matches route %v, want %s", path, r, want)
 		}
 	}
 	if r := table.Route("b.example", "/x/"); r != nil {
-		t.Errorf("unknown host is handled by %s", r.Name)
+		t.Errorf("unknown host matches route %s", r.Name)
 	}
 }
 
@@ -65,22 +65,23 @@
 	}
 }
 
-// Guards against a withdrawn or foreign key that is taken.
+// Guards against accepting a withdrawn key or attributing a key to the wrong
+// workspace.
 func TestKeysBelongToTheirWorkspace(t *testing.T) {
 	table := Compile(validDocument())
 	if w := table.Owner("k2"); w == nil || w.Name != "w" {
-		t.Errorf("k2 belongs to %v", w)
+		t.Errorf("key k2 belongs to workspace %v, want w", w)
 	}
 	if w := table.Owner("k4"); w != nil {
-		t.Errorf("unknown key belongs to %s", w.Name)
+		t.Errorf("unknown key belongs to workspace %s", w.Name)
 	}
 	if w := table.Owner(""); w != nil {
-		t.Errorf("no key belongs to %s", w.Name)
+		t.Errorf("empty key belongs to workspace %s", w.Name)
 	}
 }
 
-// Guards against a lower version, or other content under the same one, that
-// takes effect.
+// Guards against applying a lower version, or different content under the
+// current version.
 func TestTheHighestVersionWins(t *testing.T) {
 	var p Part
 	changes := 0
@@ -92,7 +93,7 @@
 		p.Apply(1, time.Time{}, EncodePut(put.version, []byte(put.raw)))
 	}
 	if got := p.Current(); got.Version != 9 || string(got.Raw) != "nine" || changes != 2 {
-		t.Errorf("version %d with %q after %d changes", got.Version, got.Raw, changes)
+		t.Errorf("got version %d with content %q after %d changes, want 9 with \"nine\" after 2", got.Version, got.Raw, changes)
 	}
 	data, err := p.Snapshot()
 	if err != nil {
@@ -100,6 +101,6 @@
 	}
 	var restored Part
 	if err := restored.Restore(data); err != nil || string(restored.Current().Raw) != "nine" {
-		t.Errorf("restored %+v, %v", restored.Current(), err)
+		t.Errorf("restored %+v, error %v; want content \"nine\"", restored.Current(), err)
 	}
 }
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -8,16 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Stored is one accepted document as the operator sent it.
+// Stored is one accepted document in the form that the operator sent.
 type Stored struct {
 	Version uint64
 	Raw     []byte
 }
 
-// Part is the replicated document. The highest version wins; a command with a
-// lower or equal version changes nothing, so that a resend is idempotent.
+// Part is the replicated configuration document. The highest version wins. A
+// command with a lower or equal version is ignored, so resending a command is
+// safe.
 type Part struct {
-	// OnChange is called after a change, with the part unlocked. It may be nil.
+	// OnChange is called after each change, without the lock held. It may be
+	// nil.
 	OnChange func()
 
 	mu     sync.Mutex
@@ -32,7 +34,7 @@
 	return append(buf, raw...)
 }
 
-// Current returns the document in force; its version is 0 before the first.
+// Current returns the current document. Its Version is 0 if there is none yet.
 func (p *Part) Current() Stored {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +72,7 @@
 // Restore implements control.Part.
 func (p *Part) Restore(data []byte) error {
 	if len(data) < versionBytes {
-		return errors.New("gateway: snapshot is truncated")
+		return errors.New("gateway: snapshot of the configuration document is truncated")
 	}
 	p.mu.Lock()
 	p.stored = Stored{
--- a/internal/servicepick/picker.go
+++ b/internal/servicepick/picker.go
@@ -1,5 +1,5 @@
-// Package servicepick chooses among the replicas of a plain service. The package
-// does no I/O.
+// Package servicepick selects among the replicas of a plain service. The
+// package does no I/O.
 package servicepick
 
 import (
@@ -14,29 +14,26 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Health tells which targets to avoid.
+// Health provides the health state of targets.
 type Health interface {
 	Usable(ref target.Ref) bool
 	Penalty(ref target.Ref) time.Duration
 }
 
-// Picker picks the replica with the fewest requests in flight from this VM,
-// preferring the own zone, then the own region.
+// Picker picks the replica with the fewest requests in flight from this VM. It
+// prefers replicas in its own zone, then those in its own region.
 type Picker struct {
-	// Registry knows the targets.
 	Registry *target.Registry
-	// Clock returns the current time.
-	Clock serving.Clock
-	// Zone and Region are where this VM is.
+	Clock    serving.Clock
+	// Zone and Region are the location of this VM.
 	Zone, Region string
-	// Health tells which replicas to avoid.
-	Health Health
+	Health       Health
 
 	mu       sync.Mutex
 	inFlight map[string]int
 }
 
-// noReplica refuses a request for which no replica is usable.
+// noReplica is the refusal of a request if no replica can take it.
 var noReplica = &serving.Refusal{
 	Status:     http.StatusServiceUnavailable,
 	Code:       "no_target",
@@ -51,7 +48,9 @@
 	replicas = slices.DeleteFunc(replicas, func(t *target.Target) bool { return slices.Contains(req.Exclude, t.Ref()) })
 	healthy := slices.DeleteFunc(slices.Clone(replicas), func(t *target.Target) bool { return !p.Health.Usable(t.Ref()) })
 	if len(healthy) > 0 {
-		// With every breaker open the breakers are as likely to be wrong.
+		// If no replica is usable, ignore the circuit breakers: when all of
+		// them are open, they are as likely to be wrong as the replicas are to
+		// be down.
 		replicas = healthy
 	}
 	if len(replicas) == 0 {
@@ -68,12 +67,12 @@
 	return &serving.Pick{Target: best, Done: func(serving.AttemptResult) { p.release(best.ID) }}, nil
 }
 
-// Costs in requests in flight: another zone is used once the own has this
-// many more per replica.
+// Costs are in units of requests in flight. A replica in another zone is picked
+// once the replicas in the own zone have this many more requests each.
 const (
 	otherZoneCost   = 16
 	otherRegionCost = 1024
-	// penaltyUnit of penalty counts like one request in flight.
+	// penaltyUnit is the penalty that counts as one request in flight.
 	penaltyUnit = 10 * time.Millisecond
 )
 
