--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -34,6 +34,8 @@
 	}
 }
 
+// slot returns the window of a service and the current tick. It clears the slot
+// of that tick if the slot still has the counts of an earlier one.
 func (b *Budget) slot(service string, now time.Time) (*budgetWindow, int64) {
 	if b.services == nil {
 		b.services = make(map[string]*budgetWindow)
--- a/internal/forward/ports.go
+++ b/internal/forward/ports.go
@@ -32,6 +32,7 @@
 	ResumeAfter string
 }
 
+// PromptPart is one part of a prompt, as the caller states it.
 type PromptPart struct {
 	Name   string
 	Tokens int
@@ -112,7 +113,7 @@
 
 // Placer chooses targets and is told the outcome of each attempt.
 type Placer interface {
-	Choose(want placement.Request) (*placement.Choice, int)
+	Choose(req placement.Request) (*placement.Choice, int)
 	RecordFirstByte(c *placement.Choice)
 	SetWeights(c *placement.Choice, version uint64)
 	Done(c *placement.Choice, result placement.Result)
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -151,6 +151,8 @@
 // request.
 var errIncompleteWrite = errors.New("request was only partly written")
 
+// writeFailure returns the result of an attempt whose request could not be
+// written.
 func (s *exchange) writeFailure(err error) result {
 	if errors.Is(err, errIncompleteWrite) {
 		return resultNotSent
@@ -315,7 +317,7 @@
 func (s *exchange) forwardBuffered(resp *http.Response, meta Answer) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		s.reason = "response truncated: " + err.Error()
+		s.reason = "reading response body failed: " + err.Error()
 		return resultBroken
 	}
 	s.reusableAfter = resp
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -108,6 +108,7 @@
 	m.failureRateAt = now
 }
 
+// Targets returns the targets of all services.
 func (p *Placer) Targets() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
