--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -26,78 +26,85 @@
 	Budget *Budget
 	Pool   *targetconn.Pool
 	Logger *zap.Logger
-	// Boot is the clock that does not stop during a suspension.
+	// Boot returns the time of a clock that continues during a suspension.
 	Boot func() time.Duration
-	// KeysValid is how long after the confirmation of the state keys are
-	// taken; 0 is forever.
+	// KeysValid is how long keys are accepted after the state was last
+	// confirmed; 0 means without limit.
 	KeysValid time.Duration
-	// StateSoon reports whether a state that can be used is expected within
-	// about the time of an election.
+	// StateSoon reports whether a usable state is expected within about the
+	// duration of an election.
 	StateSoon func() bool
-	// Stopping reports whether callers have to go to other VMs.
+	// Stopping reports whether this VM is shutting down, so that callers must
+	// move to other VMs.
 	Stopping func() bool
-	// Observe counts the outcome of a request.
+	// Observe records the outcome and duration of a request.
 	Observe func(kind gateway.RunKind, code string, took time.Duration)
 }
 
-// Limits of what callers wait for.
+// Limits on the time and resources of a request.
 const (
-	// quotaWait is how long a request waits for its quota rather than being
-	// refused; it is below half of the shortest objective.
-	quotaWait = 120 * time.Millisecond
-	// stateWait is how long a request waits at a front that has just started
-	// or lost the core: about an election. It waits for statePart of its own
-	// limit at most. statePoll is the time between two looks.
-	stateWait = 1200 * time.Millisecond
-	statePart = 4
-	statePoll = 20 * time.Millisecond
-	// maxSends bounds the targets that one request is offered to.
-	maxSends = 4
-	// defaultLimit applies to callers that state no deadline.
-	defaultLimit = time.Minute
-	// defaultMaxBody applies to documents without a limit.
-	defaultMaxBody = 8 << 20
-	// drainMargin is taken off the deadline that a target is told.
-	drainMargin = 5 * time.Millisecond
+	// maxQuotaWait is the longest time that a request waits for its quota
+	// before it is rejected. It is less than half of the shortest latency
+	// objective.
+	maxQuotaWait = 120 * time.Millisecond
+	// maxStateWait is the longest time that a request waits at a front that has
+	// just started or lost its connection to the core: about the duration of an
+	// election. A request waits at most 1/stateWaitDivisor of its own timeout.
+	// statePollInterval is the time between two checks of the state.
+	maxStateWait      = 1200 * time.Millisecond
+	stateWaitDivisor  = 4
+	statePollInterval = 20 * time.Millisecond
+	// maxAttempts limits the attempts of one request, including those that did
+	// not run it.
+	maxAttempts = 4
+	// defaultTimeout applies to requests that state no deadline.
+	defaultTimeout = time.Minute
+	// defaultMaxBodyBytes applies if the configuration document sets no limit.
+	defaultMaxBodyBytes = 8 << 20
+	// deadlineMargin is subtracted from the time left when the target is told
+	// its deadline.
+	deadlineMargin = 5 * time.Millisecond
 )
 
-// call is one request on its way.
+// call is one request in progress.
 type call struct {
 	*Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	request Request
-	state   State
-	route   *gateway.Route
-	owner   *gateway.Workspace
-	service string
-	body    []byte
-	started time.Time
-	// deadline is when the caller or the route gives up.
-	deadline time.Time
-	want     placement.Want
-	charged  float64
+	w         http.ResponseWriter
+	r         *http.Request
+	request   Request
+	state     State
+	route     *gateway.Route
+	workspace *gateway.Workspace
+	service   string
+	body      []byte
+	started   time.Time
+	// deadline is the earlier of the caller's deadline and the timeout of the
+	// route.
+	deadline         time.Time
+	placementRequest placement.Request
+	chargedCost      float64
 
-	// sends counts the targets that the request was offered to, runs those
-	// that may have run it.
-	sends int
-	runs  int
-	// delivered tells how far the answer to the caller is.
-	headSent bool
-	lastID   int64
-	// failure is the answer of a target that failed, passed on at the end if
-	// nothing better comes.
-	failure *wholeAnswer
-	target  string
-	reason  string
-	firstAt time.Duration
+	// attempts counts the targets to which the request was offered,
+	// possibleRuns those that may have run it.
+	attempts     int
+	possibleRuns int
+	// headersSent is set once the caller has received the headers of a stream.
+	// lastEventID is the last event that the caller has received.
+	headersSent bool
+	lastEventID int64
+	// failedResponse is the error response of a target, returned to the caller
+	// if no later attempt succeeds.
+	failedResponse *bufferedResponse
+	targetID       string
+	reason         string
+	firstByteAfter time.Duration
 	// choice is the latest choice of a target.
 	choice *placement.Choice
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{Handler: h, w: w, r: r, started: time.Now(), state: h.State(), lastID: -1}
+	c := &call{Handler: h, w: w, r: r, started: time.Now(), state: h.State(), lastEventID: -1}
 	if h.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
@@ -115,7 +122,7 @@
 
 func (c *call) refuse(f *refusal) {
 	if f.status == http.StatusServiceUnavailable || f.status == http.StatusTooManyRequests {
-		c.refund()
+		c.refundQuota()
 	}
 	if f.status == 0 {
 		return
@@ -123,25 +130,25 @@
 	f.write(c.w, c.request.ID)
 }
 
-func (c *call) refund() {
-	if c.charged > 0 && c.runs == 0 {
-		c.Quota.Refund(c.owner.Name, c.charged)
+func (c *call) refundQuota() {
+	if c.chargedCost > 0 && c.possibleRuns == 0 {
+		c.Quota.Refund(c.workspace.Name, c.chargedCost)
 	}
-	c.charged = 0
+	c.chargedCost = 0
 }
 
-// admit decodes the request and checks what it may do.
+// admit decodes the request and checks that it is allowed.
 func (c *call) admit() *refusal {
 	var err error
 	if c.request, err = c.Codec.Request(c.r.Header); err != nil {
 		c.reason = err.Error()
-		return &errHeaders
+		return &errMalformedHeaders
 	}
-	if c.state.Table == nil || c.stale() {
+	if c.state.Table == nil || c.stateExpired() {
 		c.awaitState()
 	}
 	if c.state.Table == nil {
-		return &errNoDocument
+		return &errNoConfiguration
 	}
 	c.route = c.state.Table.Route(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
@@ -155,24 +162,24 @@
 		return f
 	}
 	c.service = c.route.Pick(rand.Float64())
-	c.Budget.First(c.service, c.started)
-	c.describe()
-	return c.charge()
+	c.Budget.RecordRequest(c.service, c.started)
+	c.buildPlacementRequest()
+	return c.chargeQuota()
 }
 
-// awaitState waits for the core while it is expected back. A caller mostly has
-// one more attempt only, which a refusal would use up.
+// awaitState waits for a usable state while one is expected soon. Most callers
+// retry only once, and a rejection would use up that retry.
 func (c *call) awaitState() {
-	wait := stateWait
+	wait := maxStateWait
 	if c.request.Limit > 0 {
-		wait = min(wait, c.request.Limit/statePart)
+		wait = min(wait, c.request.Limit/stateWaitDivisor)
 	}
 	for until := c.started.Add(wait); time.Now().Before(until) && c.StateSoon(); {
-		if !c.pause(statePoll) {
+		if !c.sleep(statePollInterval) {
 			return
 		}
 		c.state = c.State()
-		if c.state.Table != nil && !c.stale() {
+		if c.state.Table != nil && !c.stateExpired() {
 			return
 		}
 	}
@@ -182,32 +189,33 @@
 	if c.route.Open && c.request.Key == "" {
 		return nil
 	}
-	c.owner = c.state.Table.Owner(c.request.Key)
-	if c.owner == nil {
+	c.workspace = c.state.Table.Owner(c.request.Key)
+	if c.workspace == nil {
 		if c.route.Open {
 			return nil
 		}
-		if c.stale() {
-			return &errUnconfirmed
+		if c.stateExpired() {
+			return &errKeysNotConfirmed
 		}
-		return &errKey
+		return &errUnknownKey
 	}
-	if c.stale() {
-		return &errUnconfirmed
+	if c.stateExpired() {
+		return &errKeysNotConfirmed
 	}
 	return nil
 }
 
-// stale reports whether the knowledge of keys is too old: a key that was
-// withdrawn must stop working also on a VM that is cut off.
-func (c *call) stale() bool {
+// stateExpired reports whether the confirmation of the state is too old to
+// accept keys. A withdrawn key must stop working also on a VM that has lost its
+// connection to the core.
+func (c *call) stateExpired() bool {
 	return c.KeysValid > 0 && c.Boot()-c.state.Confirmed > c.KeysValid
 }
 
 func (c *call) setDeadline() {
 	limit := c.request.Limit
 	if limit <= 0 {
-		limit = defaultLimit
+		limit = defaultTimeout
 	}
 	c.deadline = c.started.Add(min(limit, c.route.Timeout))
 }
@@ -218,74 +226,75 @@
 	}
 	limit := c.state.Table.Document.Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	if err != nil {
 		c.reason = err.Error()
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return &errTooLarge
+			return &errBodyTooLarge
 		}
-		return &errBody
+		return &errIncompleteBody
 	}
 	c.body = body
 	return nil
 }
 
-// describe says what placement has to know.
-func (c *call) describe() {
-	c.want = placement.Want{Service: c.service}
+// buildPlacementRequest sets what placement needs to know about the request.
+func (c *call) buildPlacementRequest() {
+	c.placementRequest = placement.Request{Service: c.service}
 	service := c.state.Table.Service(c.service)
 	if !c.route.Cached || service == nil || service.Engine == nil {
 		return
 	}
-	scope := c.scope()
+	scope := c.cacheScope()
 	for _, part := range c.request.Parts {
 		key := xxhash.Sum64String(scope + "\x00" + part.Name)
-		c.want.Parts = append(c.want.Parts, placement.Part{ID: key, Tokens: part.Tokens})
+		c.placementRequest.Parts = append(c.placementRequest.Parts, placement.Part{ID: key, Tokens: part.Tokens})
 	}
-	if len(c.want.Parts) > 0 {
-		c.want.Own = 1
+	if len(c.placementRequest.Parts) > 0 {
+		c.placementRequest.UniqueParts = 1
 	}
 	for _, model := range service.Engine.Models {
-		c.want.Prefer = max(c.want.Prefer, c.state.Weights[model])
+		c.placementRequest.Weights = max(c.placementRequest.Weights, c.state.Weights[model])
 	}
 }
 
-// scope separates the cached parts of isolated workspaces from all others.
-func (c *call) scope() string {
-	if c.owner != nil && c.owner.Isolated {
-		return "isolated-" + c.owner.Name
+// cacheScope returns the scope within which cached parts are shared: one for
+// each isolated workspace, and one for all others.
+func (c *call) cacheScope() string {
+	if c.workspace != nil && c.workspace.Isolated {
+		return "isolated-" + c.workspace.Name
 	}
 	return "shared"
 }
 
-// charge takes the request's cost from the quota of its workspace.
-func (c *call) charge() *refusal {
-	if c.owner == nil || c.owner.Rate <= 0 {
+// chargeQuota charges the cost of the request to the quota of its workspace.
+func (c *call) chargeQuota() *refusal {
+	if c.workspace == nil || c.workspace.Rate <= 0 {
 		return nil
 	}
 	cost := 1.0
-	if c.owner.TokenUnit {
-		cost = c.owner.PlainTokens
+	if c.workspace.TokenUnit {
+		cost = c.workspace.PlainTokens
 		if c.request.Sized {
 			cost = float64(c.request.PromptTokens + c.request.OutputTokens)
 		}
 	}
-	wait, ok := c.Quota.Admit(c.Boot(), c.owner.Name, c.owner.Rate, c.owner.Burst, cost)
-	if !ok && wait <= quotaWait && c.pause(wait) {
-		wait, ok = c.Quota.Admit(c.Boot(), c.owner.Name, c.owner.Rate, c.owner.Burst, cost)
+	wait, ok := c.Quota.Admit(c.Boot(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
+	if !ok && wait <= maxQuotaWait && c.sleep(wait) {
+		wait, ok = c.Quota.Admit(c.Boot(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
 	}
 	if !ok {
 		return &refusal{http.StatusTooManyRequests, "quota", wait}
 	}
-	c.charged = cost
+	c.chargedCost = cost
 	return nil
 }
 
-// pause waits and reports false if the caller has left.
-func (c *call) pause(d time.Duration) bool {
+// sleep waits for d. It reports false if the caller disconnects first.
+func (c *call) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -297,96 +306,99 @@
 }
 
 func (c *call) priority() int {
-	if c.owner != nil && c.owner.Priority != nil {
-		return *c.owner.Priority
+	if c.workspace != nil && c.workspace.Priority != nil {
+		return *c.workspace.Priority
 	}
 	return c.route.Priority
 }
 
-// run offers the request to targets until one has answered it.
+// run sends the request to one target after another until it is finished.
 func (c *call) run() *refusal {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
 	for {
-		choice, known := c.Placer.Choose(c.want)
+		choice, total := c.Placer.Choose(c.placementRequest)
 		if choice == nil {
-			c.note(fmt.Sprintf("none of %d targets of %s is usable", known, c.service))
-			return c.giveUp()
+			c.addReason(fmt.Sprintf("no usable target among the %d of service %s", total, c.service))
+			return c.endWithoutTarget()
 		}
-		if c.sends > 0 && !c.Budget.Extra(c.service, time.Now(), c.state.Fronts) {
-			c.Placer.Done(choice, placement.Abandoned)
-			c.note("retry budget spent")
-			return c.giveUp()
+		if c.attempts > 0 && !c.Budget.TakeRetry(c.service, time.Now(), c.state.Fronts) {
+			c.Placer.Done(choice, placement.Canceled)
+			c.addReason("retry budget spent")
+			return c.endWithoutTarget()
 		}
-		c.sends++
-		c.target = choice.Target.ID
+		c.attempts++
+		c.targetID = choice.Target.ID
 		c.choice = choice
 		result := c.send(ctx, choice)
 		c.Placer.Done(choice, result.placement())
-		if done, f := c.decide(result); done {
+		if done, f := c.afterAttempt(result); done {
 			return f
 		}
-		c.Logger.Info("sent again", zap.String("id", c.request.ID), zap.String("target", c.target),
-			zap.String("result", result.String()), zap.String("reason", c.reason), zap.Int64("last_event", c.lastID))
-		if result != resultStale {
-			c.want.Exclude = append(c.want.Exclude, choice.Target.ID)
+		c.Logger.Info("retrying request after failed attempt", zap.String("id", c.request.ID), zap.String("target", c.targetID),
+			zap.String("result", result.String()), zap.String("reason", c.reason), zap.Int64("last_event", c.lastEventID))
+		if result != resultOtherWeights {
+			c.placementRequest.Exclude = append(c.placementRequest.Exclude, choice.Target.ID)
 		}
 	}
 }
 
-// note adds a reason to the line of the request.
-func (c *call) note(reason string) {
+// addReason appends a reason to the log entry of the request.
+func (c *call) addReason(reason string) {
 	if c.reason != "" {
 		c.reason += "; "
 	}
 	c.reason += reason
 }
 
-// decide says whether the request is finished after a send.
-func (c *call) decide(result result) (bool, *refusal) {
-	if result == resultDone {
+// afterAttempt reports whether the request is finished after an attempt, and
+// with which refusal.
+func (c *call) afterAttempt(result result) (bool, *refusal) {
+	if result == resultDelivered {
 		return true, nil
 	}
 	if c.r.Context().Err() != nil {
-		return true, &errGone
+		return true, &errCallerLeft
 	}
 	if result.mayHaveRun() {
-		c.runs++
+		c.possibleRuns++
 	}
 	if !time.Now().Before(c.deadline) {
-		return true, c.end(&errTimeout)
+		return true, c.endFailed(&errTimeout)
 	}
-	if result.mayHaveRun() && (!c.route.Repeatable() || c.runs >= c.route.MaxAttempts) {
-		return true, c.end(&errBroken)
+	if result.mayHaveRun() && (!c.route.Retryable() || c.possibleRuns >= c.route.MaxAttempts) {
+		return true, c.endFailed(&errTargetFailed)
 	}
-	if c.sends >= maxSends {
-		return true, c.giveUp()
+	if c.attempts >= maxAttempts {
+		return true, c.endWithoutTarget()
 	}
 	return false, nil
 }
 
-// giveUp is the end of a request that no further target can take.
-func (c *call) giveUp() *refusal {
+// endWithoutTarget returns the refusal of a request for which no further target
+// is available.
+func (c *call) endWithoutTarget() *refusal {
 	switch {
-	case c.headSent || c.runs > 0:
-		return c.end(&errBroken)
-	case c.sends > 0:
-		return &errFull
+	case c.headersSent || c.possibleRuns > 0:
+		return c.endFailed(&errTargetFailed)
+	case c.attempts > 0:
+		return &errTargetsFull
 	}
 	return &errNoTarget
 }
 
-// end finishes a request that may have run: with the answer of the target that
-// failed it, or by breaking off what the caller has got in part.
-func (c *call) end(f *refusal) *refusal {
+// endFailed finishes a request that may have run. The caller gets the error
+// response of the target, if there is one and no headers were sent; a stream
+// that has begun is aborted.
+func (c *call) endFailed(f *refusal) *refusal {
 	switch {
-	case c.headSent:
+	case c.headersSent:
 		return &errAborted
-	case c.failure != nil:
-		c.failure.write(c)
+	case c.failedResponse != nil:
+		c.failedResponse.write(c)
 		return nil
-	case c.runs == 0:
-		return &errFull
+	case c.possibleRuns == 0:
+		return &errTargetsFull
 	}
 	return f
 }
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -9,8 +9,8 @@
 	"github.com/cuminwing/cuminwing/internal/gateway"
 )
 
-// finish writes the line of the request and ends the connection if the answer
-// is not whole.
+// finish writes the log entry of the request, and aborts the connection to the
+// caller if the response is incomplete.
 func (c *call) finish(code string) {
 	took := time.Since(c.started)
 	kind := gateway.RunOnce
@@ -20,25 +20,26 @@
 	c.Observe(kind, code, took)
 	fields := []zap.Field{
 		zap.String("id", c.request.ID), zap.String("outcome", code), zap.String("reason", c.reason),
-		zap.Duration("first", c.firstAt), zap.Duration("took", took),
+		zap.Duration("first", c.firstByteAfter), zap.Duration("took", took),
 	}
 	fields = append(fields, c.admissionFields()...)
-	c.Logger.Info(message(code), append(fields, c.placementFields()...)...)
+	c.Logger.Info(logMessage(code), append(fields, c.placementFields()...)...)
 	if code == errAborted.code {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// message keeps failed requests apart, so that sampling under load leaves out
-// answered ones first.
-func message(code string) string {
+// logMessage returns separate messages for successful and failed requests, so
+// that log sampling under load drops successful ones first.
+func logMessage(code string) string {
 	if code == "ok" {
 		return "request"
 	}
 	return "request failed"
 }
 
-// admissionFields are the inputs of admission, with their version and age.
+// admissionFields returns the log fields of admission, with the version and age
+// of the state that it used.
 func (c *call) admissionFields() []zap.Field {
 	var fields []zap.Field
 	if c.state.Table != nil {
@@ -48,23 +49,23 @@
 	if c.route != nil {
 		fields = append(fields, zap.String("route", c.route.Name))
 	}
-	if c.owner != nil {
-		fields = append(fields, zap.String("workspace", c.owner.Name))
+	if c.workspace != nil {
+		fields = append(fields, zap.String("workspace", c.workspace.Name))
 	}
 	return fields
 }
 
-// placementFields say where the request went, and what was believed of the last
-// target that was chosen.
+// placementFields returns the log fields of placement: the last target that was
+// chosen, and what placement assumed about it.
 func (c *call) placementFields() []zap.Field {
-	fields := []zap.Field{zap.String("target", c.target), zap.Int("sends", c.sends), zap.Int("runs", c.runs)}
+	fields := []zap.Field{zap.String("target", c.targetID), zap.Int("sends", c.attempts), zap.Int("runs", c.possibleRuns)}
 	if c.choice == nil || c.request.PromptTokens == 0 {
 		return fields
 	}
 	fields = append(fields, zap.Int("prompt", c.request.PromptTokens), zap.Int("cached", c.choice.CachedTokens),
 		zap.Bool("home", c.choice.Home), zap.Duration("expected", c.choice.Expected))
-	if c.choice.Source != nil {
-		fields = append(fields, zap.String("fetched_from", c.choice.Source.ID))
+	if c.choice.FetchFrom != nil {
+		fields = append(fields, zap.String("fetched_from", c.choice.FetchFrom.ID))
 	}
 	return fields
 }
--- /dev/null
+++ b/internal/placement/hints.go
@@ -0,0 +1,174 @@
+package placement
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Fronts send each other hints about each request that they place: the engine,
+// its prefill work and the shared parts. So each front tracks the backlog and
+// the cache of all engines without polling them. A wrong hint costs a few
+// milliseconds.
+
+const (
+	// entryHeaderBytes is the size of the fixed part of an entry: the 32-bit
+	// hash of the engine and its weights, the prefill work in milliseconds (16
+	// bits), the inserted tokens in units of blockTokens (16 bits) and the
+	// number of parts (8 bits). The 32-bit hashes of the parts follow.
+	entryHeaderBytes = 9
+	blockTokens      = 16
+	// savedFlag is set in the number of parts if the engine saves the parts to
+	// the store of its region.
+	savedFlag = 0x80
+	// unreachableWork replaces the prefill work if the engine could not be
+	// reached.
+	unreachableWork = math.MaxUint16
+	partHashBytes   = 4
+	// maxPacketBytes keeps a packet within one unfragmented datagram on any
+	// path.
+	maxPacketBytes = 1200
+	// maxQueuedPackets limits the packets that wait to be sent; further hints
+	// are dropped.
+	maxQueuedPackets = 16
+)
+
+// engineHash identifies an engine together with its weights, so that hints
+// about earlier weights match no engine.
+func engineHash(id string, weights uint64) uint32 {
+	var b [8]byte
+	binary.LittleEndian.PutUint64(b[:], weights)
+	d := xxhash.New()
+	// Writes to a hash never fail.
+	_, _ = d.WriteString(id)
+	_, _ = d.Write(b[:])
+	return uint32(d.Sum64())
+}
+
+// announceChoice queues a hint about a placed request for the other fronts.
+func (p *Placer) announceChoice(c *Choice, shared []Part) {
+	work := uint16(min(max(c.workMS, 0), unreachableWork-1))
+	blocks := uint16(min(max(c.insertedTokens/blockTokens, 0), math.MaxUint16))
+	p.enqueueHint(c.member, work, blocks, shared, c.SaveTo != "")
+}
+
+// announceUnreachable tells the other fronts that an engine could not be
+// reached. Each front finds out by itself when the engine is reachable again.
+func (p *Placer) announceUnreachable(m *member) { p.enqueueHint(m, unreachableWork, 0, nil, false) }
+
+func (p *Placer) enqueueHint(m *member, work, blocks uint16, shared []Part, saved bool) {
+	n := entryHeaderBytes + partHashBytes*len(shared)
+	if len(shared) >= savedFlag || n > maxPacketBytes {
+		return
+	}
+	last := len(p.outbox) - 1
+	if last < 0 || len(p.outbox[last])+n > maxPacketBytes {
+		if len(p.outbox) == maxQueuedPackets {
+			return
+		}
+		p.outbox = append(p.outbox, make([]byte, 0, maxPacketBytes))
+		last++
+	}
+	b := binary.LittleEndian.AppendUint32(p.outbox[last], engineHash(m.ID, m.Weights))
+	b = binary.LittleEndian.AppendUint16(b, work)
+	b = binary.LittleEndian.AppendUint16(b, blocks)
+	count := byte(len(shared))
+	if saved {
+		count |= savedFlag
+	}
+	b = append(b, count)
+	for _, part := range shared {
+		b = binary.LittleEndian.AppendUint32(b, uint32(part.ID))
+	}
+	p.outbox[last] = b
+	select {
+	case p.hintsReady <- struct{}{}:
+	default:
+	}
+}
+
+// Announcements returns a channel that signals that TakeSent has packets to
+// return.
+func (p *Placer) Announcements() <-chan struct{} { return p.hintsReady }
+
+// TakeSent returns the queued packets for the other fronts and empties the
+// queue.
+func (p *Placer) TakeSent() [][]byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	packets := p.outbox
+	p.outbox = nil
+	return packets
+}
+
+// Hint applies a packet from another front. A truncated entry and all that
+// follows it are ignored.
+func (p *Placer) Hint(packet []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.Clock()
+	for len(packet) >= entryHeaderBytes {
+		size := entryHeaderBytes + partHashBytes*int(packet[entryHeaderBytes-1]&^savedFlag)
+		if len(packet) < size {
+			return
+		}
+		if m := p.enginesByHash[binary.LittleEndian.Uint32(packet)]; m != nil {
+			p.applyHint(m, now, packet[:size])
+		}
+		packet = packet[size:]
+	}
+}
+
+func (p *Placer) applyHint(m *member, now time.Time, entry []byte) {
+	work := binary.LittleEndian.Uint16(entry[4:])
+	if work == unreachableWork {
+		m.down = true
+		return
+	}
+	m.addBacklog(now, float64(work))
+	prefilled := blockTokens * float64(binary.LittleEndian.Uint16(entry[6:]))
+	parts := decodeParts(entry[entryHeaderBytes:])
+	m.insertedTokens += prefilled
+	m.recordParts(parts)
+	if entry[entryHeaderBytes-1]&savedFlag != 0 {
+		p.recordSave(now, m, parts, prefilled)
+	}
+}
+
+func decodeParts(b []byte) []uint32 {
+	parts := make([]uint32, 0, len(b)/partHashBytes)
+	for ; len(b) >= partHashBytes; b = b[partHashBytes:] {
+		parts = append(parts, binary.LittleEndian.Uint32(b))
+	}
+	return parts
+}
+
+// partHashes returns the 32-bit hashes by which entries identify parts.
+func partHashes(parts []Part) []uint32 {
+	list := make([]uint32, len(parts))
+	for i, part := range parts {
+		list[i] = uint32(part.ID)
+	}
+	return list
+}
+
+func (m *member) recordParts(parts []uint32) {
+	for _, part := range parts {
+		m.parts[part] = m.insertedTokens
+	}
+	if len(m.parts) > maxMemberParts {
+		m.evictParts()
+	}
+}
+
+// rebuildEngineIndex rebuilds the map from engine hashes to members.
+func (p *Placer) rebuildEngineIndex() {
+	p.enginesByHash = make(map[uint32]*member)
+	for _, s := range p.services {
+		for _, m := range s.members {
+			p.enginesByHash[engineHash(m.ID, m.Weights)] = m
+		}
+	}
+}
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -2,51 +2,53 @@
 
 import "slices"
 
-// homeOf returns the member at which all VMs expect the last shared part, by
-// rendezvous hashing, so that they agree without messages. Prompts with the
-// same first part share a few homes, so that the first part takes memory on
-// these only.
-func homeOf(s *service, want *Want) *member {
-	shared := len(want.Parts) - want.Own
+// homeFor returns the home of a request: the member that all VMs prefer for its
+// shared parts, so that these are cached there. Rendezvous hashing of the last
+// shared part lets all VMs choose the same member without exchanging messages.
+// Prompts with the same first part have their homes within a small group, so
+// that the first part occupies memory only there.
+func homeFor(s *service, req *Request) *member {
+	shared := len(req.Parts) - req.UniqueParts
 	if shared <= 0 {
 		return nil
 	}
-	first, last := want.Parts[0].ID, want.Parts[shared-1].ID
-	limit := groupFloor(s, want, first)
+	first, last := req.Parts[0].ID, req.Parts[shared-1].ID
+	minWeight := minGroupWeight(s, req, first)
 	var home *member
 	best := uint64(0)
 	for _, m := range s.members {
-		if !m.home(want) || mix(first^m.hash) < limit {
+		if !m.canBeHome(req) || mix64(first^m.hash) < minWeight {
 			continue
 		}
-		if weight := mix(last ^ m.hash); home == nil || weight > best {
+		if weight := mix64(last ^ m.hash); home == nil || weight > best {
 			home, best = m, weight
 		}
 	}
 	return home
 }
 
-// home reports whether a member can be a home: engines with older weights lose
-// what they hold soon.
-func (m *member) home(want *Want) bool { return !m.Closed && !m.paused && m.Weights >= want.Prefer }
+// canBeHome reports whether the member is a candidate for the home of a
+// request. Engines with older weights are not, because their cache is lost with
+// the coming weight update.
+func (m *member) canBeHome(r *Request) bool { return !m.Closed && !m.down && m.Weights >= r.Weights }
 
-// groupPart is the part of a service's engines that are homes of the prompts
-// with one first part, and groupMin the least number.
+// The homes of prompts with the same first part are 1/groupDivisor of the
+// service's engines, but at least minGroupSize.
 const (
-	groupPart = 3
-	groupMin  = 3
+	groupDivisor = 3
+	minGroupSize = 3
 )
 
-// groupFloor returns the rendezvous weight that the homes of a first part reach
-// at least.
-func groupFloor(s *service, want *Want, first uint64) uint64 {
+// minGroupWeight returns the lowest rendezvous weight of the members that can
+// be homes of prompts with the given first part.
+func minGroupWeight(s *service, req *Request, first uint64) uint64 {
 	weights := make([]uint64, 0, len(s.members))
 	for _, m := range s.members {
-		if m.home(want) {
-			weights = append(weights, mix(first^m.hash))
+		if m.canBeHome(req) {
+			weights = append(weights, mix64(first^m.hash))
 		}
 	}
-	size := max(groupMin, len(weights)/groupPart)
+	size := max(minGroupSize, len(weights)/groupDivisor)
 	if len(weights) <= size {
 		return 0
 	}
@@ -54,8 +56,8 @@
 	return weights[len(weights)-size]
 }
 
-// mix is the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64.
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -2,83 +2,84 @@
 
 import "time"
 
-// First reports the first byte of an answer.
-func (p *Placer) First(c *Choice) {
+// RecordFirstByte records the time to the first byte of a response.
+func (p *Placer) RecordFirstByte(c *Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.started {
+	if c.firstByteSeen {
 		return
 	}
-	c.started = true
+	c.firstByteSeen = true
 	m := c.member
 	now := p.Clock()
-	extra := max(0, float64(now.Sub(c.sent)-c.Expected)/float64(time.Millisecond)+c.bias)
-	// A mean of the decayed wait and the new one follows a change quickly and
-	// still smooths single slow answers.
-	m.waitMS = (m.wait(now) + extra) / 2
+	observedWait := max(0, float64(now.Sub(c.sentAt)-c.Expected)/float64(time.Millisecond)+c.includedWaitMS)
+	// The mean of the decayed wait and the new one follows a change quickly and
+	// still smooths single slow responses.
+	m.waitMS = (m.currentWait(now) + observedWait) / 2
 	m.waitAt = now
-	m.paused = false
+	m.down = false
 }
 
-// Result is what became of a request at a target.
+// Result is the outcome of a request at a target.
 type Result uint8
 
-// The results of a request at a target.
 const (
-	// Answered is a whole answer.
-	Answered Result = iota
-	// Failed is an answer of failure, a broken answer or silence.
+	// Completed means that the target sent a complete response.
+	Completed Result = iota
+	// Failed means an error response, a truncated response or a timeout.
 	Failed
-	// Unreachable means that no connection could be made or it broke at once.
+	// Unreachable means that no connection could be opened, or that it broke
+	// before the request was sent.
 	Unreachable
-	// Full means that the target has refused the request without running it.
-	Full
-	// Moved means that another target has the address.
-	Moved
-	// Abandoned says nothing about the target: the caller has left.
-	Abandoned
+	// Rejected means that the target refused the request without running it.
+	Rejected
+	// Misdirected means that the address now belongs to another target.
+	Misdirected
+	// Canceled says nothing about the target: the request ended for another
+	// reason, for example because the caller disconnected.
+	Canceled
 )
 
-// fullWaitMS is the wait assumed at a target that refuses requests.
-const fullWaitMS = 400.0
+// rejectedWaitMS is the least wait assumed at a target that has just rejected a
+// request.
+const rejectedWaitMS = 400.0
 
-// Done reports the end of a request.
+// Done records the end of a request.
 func (p *Placer) Done(c *Choice, result Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := c.member
 	m.inflight--
 	now := p.Clock()
-	if !c.started && result != Answered {
-		m.load(now, -c.prefill)
+	if !c.firstByteSeen && result != Completed {
+		m.addBacklog(now, -c.workMS)
 	}
-	c.started = true
+	c.firstByteSeen = true
 	switch result {
-	case Answered:
-		m.note(now, 0)
+	case Completed:
+		m.recordOutcome(now, 0)
 	case Failed:
-		m.note(now, 1)
-	case Full:
-		m.waitMS, m.waitAt = max(m.wait(now), fullWaitMS), now
-	case Moved:
-		// Until the registry knows of it.
+		m.recordOutcome(now, 1)
+	case Rejected:
+		m.waitMS, m.waitAt = max(m.currentWait(now), rejectedWaitMS), now
+	case Misdirected:
+		// Exclude the target until the next registry update.
 		m.Closed, m.Gone = true, true
 	case Unreachable:
-		m.note(now, 1)
-		m.paused = true
-		p.announceLost(m)
+		m.recordOutcome(now, 1)
+		m.down = true
+		p.announceUnreachable(m)
 	}
 }
 
-// Paused returns the targets that could not be reached and have not been seen
-// since.
+// Paused returns the open targets that are marked as down.
 func (p *Placer) Paused() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Target
 	for _, s := range p.services {
 		for _, m := range s.members {
-			if m.paused && !m.Closed {
+			if m.down && !m.Closed {
 				list = append(list, m.Target)
 			}
 		}
@@ -86,28 +87,28 @@
 	return list
 }
 
-// Reachable reports that a connection to a target could be made.
+// Reachable records that a connection to the target could be opened.
 func (p *Placer) Reachable(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.services {
 		for _, m := range s.members {
 			if m.ID == id {
-				m.paused = false
+				m.down = false
 			}
 		}
 	}
 }
 
-// failureWeight is the weight of one request in the share of failures.
-const failureWeight = 0.2
+// failureSmoothing is the weight of one request in the failure rate.
+const failureSmoothing = 0.2
 
-func (m *member) note(now time.Time, failed float64) {
-	m.failures = m.failed(now)*(1-failureWeight) + failed*failureWeight
-	m.failedAt = now
+func (m *member) recordOutcome(now time.Time, failed float64) {
+	m.failureRate = m.currentFailureRate(now)*(1-failureSmoothing) + failed*failureSmoothing
+	m.failureRateAt = now
 }
 
-// Targets returns all targets.
+// Targets returns the targets of all services.
 func (p *Placer) Targets() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,14 +121,14 @@
 	return list
 }
 
-// SetWeights notes the version that a target has stated, which the registry
-// does not know yet.
+// SetWeights records the weight version that a target has reported and that the
+// registry does not have yet. The cache of other weights is discarded.
 func (p *Placer) SetWeights(c *Choice, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.member.Weights != version {
 		c.member.Weights = version
 		clear(c.member.parts)
-		p.index()
+		p.rebuildEngineIndex()
 	}
 }
