--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -9,67 +9,67 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// EventKind says what happened to blocks of a cache.
+// EventKind is the kind of a cache event.
 type EventKind string
 
-// The kinds of event.
+// Kinds of cache events.
 const (
 	Stored  EventKind = "stored"
 	Evicted EventKind = "evicted"
 )
 
-// Event is one numbered change of a cache.
+// Event is a numbered change of a cache.
 type Event struct {
-	// Sequence grows by one with each event of a stream.
-	Sequence uint64 `json:"sequence"`
-	// Kind says what happened.
-	Kind EventKind `json:"kind"`
-	// Root is the first block of the chain; it decides which VM owns the event.
+	// Sequence increases by one with each event of a stream.
+	Sequence uint64    `json:"sequence"`
+	Kind     EventKind `json:"kind"`
+	// Root is the first block of the chain. It determines which VM owns the
+	// event.
 	Root Hash `json:"root"`
-	// Blocks are the blocks that changed.
+	// Blocks lists the changed blocks.
 	Blocks []Hash `json:"blocks"`
-	// AgeMS is how long evicted blocks were unused.
+	// AgeMS is how long the evicted blocks had been unused.
 	AgeMS int64 `json:"age_ms,omitempty"`
 }
 
 // Batch is a part of the event stream of one incarnation.
 type Batch struct {
-	// Ref is the incarnation that the events come from.
+	// Ref is the incarnation that sent the events.
 	Ref target.Ref
-	// Stream identifies the numbering, chosen at random; batches of a
-	// superseded stream are ignored.
+	// Stream identifies the stream to which the sequence numbers belong. It is
+	// chosen at random; batches of a superseded stream are ignored.
 	Stream uint64
-	// Reset starts a stream: the events are the whole content of the cache.
+	// Reset starts a stream. The events are the complete content of the cache.
 	Reset bool
-	// Through is the last number that the batch covers. On a reset it sets
-	// the number after which the stream goes on.
+	// Through is the last sequence number that the batch covers. On a reset, the
+	// numbering of the stream continues after it.
 	Through uint64
-	// Events are in order.
+	// Events are ordered by sequence number.
 	Events []Event
 }
 
 const (
-	// defaultEvictionAge stands in until an engine reports an eviction;
-	// engines evict within seconds.
+	// defaultEvictionAge is the assumed eviction age until an engine reports an
+	// eviction. Engines evict within seconds.
 	defaultEvictionAge = 5 * time.Second
 	// evictionAgeWeight smooths the observed age over about 16 evictions.
 	evictionAgeWeight = 1.0 / 16
 )
 
-// slot is what the index knows of one incarnation.
-type slot struct {
-	ref         target.Ref
-	stream      uint64
-	next        uint64
-	evictionAge time.Duration
-	// uncertain is when the entries stop counting after a gap; zero if the
-	// stream is whole.
-	uncertain time.Time
-	// predicted maps blocks that no event has confirmed to their expiry.
+// slotState is what the index knows about one incarnation.
+type slotState struct {
+	ref          target.Ref
+	stream       uint64
+	nextSequence uint64
+	evictionAge  time.Duration
+	// trustedUntil is when the entries stop counting after a gap in the stream;
+	// zero if there is no gap.
+	trustedUntil time.Time
+	// predicted maps the blocks that no event has confirmed to their expiry.
 	predicted map[Hash]time.Time
 }
 
-// incarnation is the newest known start of a target.
+// incarnation is the latest known incarnation of a target.
 type incarnation struct {
 	number uint64
 	slot   int
@@ -83,14 +83,16 @@
 
 	mu    sync.RWMutex
 	table table
-	slots [MaxSlots]slot
+	slots [MaxSlots]slotState
 	live  slotSet
-	dead  slotSet
-	// uncertain holds the slots after a gap in their stream.
+	// released holds the slots of dead incarnations whose entries have not been
+	// swept yet.
+	released slotSet
+	// uncertain holds the slots whose stream has a gap.
 	uncertain slotSet
 	targets   map[string]*incarnation
-	// layout changes when a slot is given to another incarnation.
-	layout atomic.Uint64
+	// layoutVersion increases when a slot is allocated or released.
+	layoutVersion atomic.Uint64
 }
 
 // NewIndex returns an empty index.
@@ -98,8 +100,8 @@
 	return &Index{clock: clock, table: newTable(), targets: make(map[string]*incarnation)}
 }
 
-// Apply takes a batch of events. It reports true if numbers are missing, so
-// that a resync is needed.
+// Apply applies a batch of events. It reports true if events are missing and a
+// resync is needed.
 func (x *Index) Apply(b Batch) (resync bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -118,62 +120,64 @@
 	}
 	s := &x.slots[known.slot]
 	if s.stream != b.Stream {
-		// The sender starts a new stream if it is still the reader.
+		// If the sender is still the reader of this target, it starts a new
+		// stream.
 		return true
 	}
-	return x.applyNumbered(known.slot, b)
+	return x.applySequenced(known.slot, b)
 }
 
-// applyNumbered skips events that were seen and notes missing ones.
-func (x *Index) applyNumbered(at int, b Batch) bool {
-	s := &x.slots[at]
+// applySequenced skips events that were already applied and detects gaps. It
+// reports whether a resync is needed.
+func (x *Index) applySequenced(slot int, b Batch) bool {
+	s := &x.slots[slot]
 	gap := false
-	for len(b.Events) > 0 && b.Events[0].Sequence < s.next {
+	for len(b.Events) > 0 && b.Events[0].Sequence < s.nextSequence {
 		b.Events = b.Events[1:]
 	}
 	for _, e := range b.Events {
-		gap = gap || e.Sequence != s.next
-		s.next = e.Sequence + 1
+		gap = gap || e.Sequence != s.nextSequence
+		s.nextSequence = e.Sequence + 1
 	}
-	if b.Through >= s.next {
+	if b.Through >= s.nextSequence {
 		gap = true
-		s.next = b.Through + 1
+		s.nextSequence = b.Through + 1
 	}
-	if gap && s.uncertain.IsZero() {
-		s.uncertain = x.clock().Add(s.evictionAge)
-		x.uncertain.add(at)
+	if gap && s.trustedUntil.IsZero() {
+		s.trustedUntil = x.clock().Add(s.evictionAge)
+		x.uncertain.add(slot)
 	}
-	x.applyEvents(at, b.Events)
-	return !s.uncertain.IsZero()
+	x.applyEvents(slot, b.Events)
+	return !s.trustedUntil.IsZero()
 }
 
-func (x *Index) applyEvents(at int, events []Event) {
-	s := &x.slots[at]
+func (x *Index) applyEvents(slot int, events []Event) {
+	s := &x.slots[slot]
 	for _, e := range events {
 		switch e.Kind {
 		case Stored:
 			for _, h := range e.Blocks {
-				x.table.add(h, at)
+				x.table.add(h, slot)
 				delete(s.predicted, h)
 			}
 		case Evicted:
 			for _, h := range e.Blocks {
-				x.table.remove(h, at)
+				x.table.remove(h, slot)
 				delete(s.predicted, h)
 			}
-			s.observeEviction(time.Duration(e.AgeMS) * time.Millisecond)
+			s.updateEvictionAge(time.Duration(e.AgeMS) * time.Millisecond)
 		}
 	}
 }
 
-func (s *slot) observeEviction(age time.Duration) {
+func (s *slotState) updateEvictionAge(age time.Duration) {
 	if age > 0 {
 		s.evictionAge += time.Duration(evictionAgeWeight * float64(age-s.evictionAge))
 	}
 }
 
-// reset gives the incarnation an empty slot. It reports false if the
-// incarnation was replaced.
+// reset moves the incarnation to an empty slot and keeps its predictions. It
+// reports false if a newer incarnation is known or no slot is free.
 func (x *Index) reset(b Batch) bool {
 	known, ok := x.targets[b.Ref.ID]
 	if ok && known.number > b.Ref.Incarnation {
@@ -188,79 +192,81 @@
 	if ok && known.alive {
 		x.release(known.slot)
 	}
-	at, ok := x.allocate(b.Ref)
+	slot, ok := x.allocate(b.Ref)
 	if !ok {
 		return false
 	}
-	s := &x.slots[at]
-	s.stream, s.next, s.evictionAge = b.Stream, b.Through+1, age
+	s := &x.slots[slot]
+	s.stream, s.nextSequence, s.evictionAge = b.Stream, b.Through+1, age
 	for h, expiry := range predicted {
-		x.table.add(h, at)
+		x.table.add(h, slot)
 		s.predicted[h] = expiry
 	}
 	return true
 }
 
-// allocate finds a slot for ref. A released slot is reused only once all its
-// entries are gone.
+// allocate assigns a free slot to ref. A released slot is reused only after all
+// its entries have been removed.
 func (x *Index) allocate(ref target.Ref) (int, bool) {
-	at := x.freeSlot()
-	if at < 0 {
-		x.sweepDead()
-		at = x.freeSlot()
+	slot := x.freeSlot()
+	if slot < 0 {
+		x.sweepReleased()
+		slot = x.freeSlot()
 	}
-	if at < 0 {
+	if slot < 0 {
 		return 0, false
 	}
-	x.slots[at] = slot{ref: ref, evictionAge: defaultEvictionAge, predicted: make(map[Hash]time.Time)}
-	x.live.add(at)
-	x.targets[ref.ID] = &incarnation{number: ref.Incarnation, slot: at, alive: true}
-	x.layout.Add(1)
-	return at, true
+	x.slots[slot] = slotState{ref: ref, evictionAge: defaultEvictionAge, predicted: make(map[Hash]time.Time)}
+	x.live.add(slot)
+	x.targets[ref.ID] = &incarnation{number: ref.Incarnation, slot: slot, alive: true}
+	x.layoutVersion.Add(1)
+	return slot, true
 }
 
 func (x *Index) freeSlot() int {
 	for w := range x.live {
-		if taken := x.live[w] | x.dead[w]; taken != ^uint64(0) {
+		if taken := x.live[w] | x.released[w]; taken != ^uint64(0) {
 			return w*64 + bits.TrailingZeros64(^taken)
 		}
 	}
 	return -1
 }
 
-func (x *Index) release(at int) {
-	x.live.remove(at)
-	x.uncertain.remove(at)
-	x.dead.add(at)
-	x.slots[at].predicted = nil
-	x.layout.Add(1)
+func (x *Index) release(slot int) {
+	x.live.remove(slot)
+	x.uncertain.remove(slot)
+	x.released.add(slot)
+	x.slots[slot].predicted = nil
+	x.layoutVersion.Add(1)
 }
 
-// sweepDead makes the slots of dead incarnations free at once.
-func (x *Index) sweepDead() {
-	for x.sweepSome(len(x.table.entries)) {
+// sweepReleased removes the entries of all released slots, which makes these
+// slots free.
+func (x *Index) sweepReleased() {
+	for x.sweepStep(len(x.table.entries)) {
 	}
 }
 
-// sweepSome goes on with the sweep. It reports true while there is more.
-func (x *Index) sweepSome(n int) bool {
+// sweepStep continues the sweep over up to n table positions. It reports false
+// if there is nothing to sweep.
+func (x *Index) sweepStep(n int) bool {
 	if x.table.sweeping == (slotSet{}) {
-		if x.dead == (slotSet{}) {
+		if x.released == (slotSet{}) {
 			return false
 		}
-		x.table.beginSweep(x.dead)
+		x.table.beginSweep(x.released)
 	}
 	swept := x.table.sweeping
 	if x.table.sweep(n) {
 		for w := range swept {
-			x.dead[w] &^= swept[w]
+			x.released[w] &^= swept[w]
 		}
 	}
 	return true
 }
 
-// Drop makes the entries of a dead incarnation disappear at once. Its late
-// events are ignored; only a reset brings it back.
+// Drop immediately excludes the entries of a dead incarnation. Late events of
+// the incarnation are ignored; only a reset restores it.
 func (x *Index) Drop(ref target.Ref) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -274,42 +280,42 @@
 	x.targets[ref.ID] = &incarnation{number: ref.Incarnation}
 }
 
-// Predict notes that ref is about to hold chain, of which it is believed to
-// hold the first blocks. The entries expire with the eviction age of the
+// Predict records that ref is about to hold chain and is believed to hold its
+// first held blocks already. The entries expire after the eviction age of the
 // engine unless an event confirms them.
 func (x *Index) Predict(ref target.Ref, chain []Hash, held int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at, ok := x.slotFor(ref)
+	slot, ok := x.slotFor(ref)
 	if !ok {
 		return
 	}
-	s := &x.slots[at]
+	s := &x.slots[slot]
 	now := x.clock()
-	if held > 0 && held <= len(chain) && x.lasting(s, at, chain[held-1], now) {
+	if held > 0 && held <= len(chain) && x.fresh(s, slot, chain[held-1], now) {
 		chain = chain[held:]
 	}
 	expiry := now.Add(s.evictionAge)
 	for _, h := range chain {
 		_, predicted := s.predicted[h]
-		if predicted || !x.table.heldBy(h, at) {
+		if predicted || !x.table.heldBy(h, slot) {
 			s.predicted[h] = expiry
-			x.table.add(h, at)
+			x.table.add(h, slot)
 		}
 	}
 }
 
-// lasting reports whether the entry of h needs no refresh. A prediction
-// covers all blocks before it, so that those last at least as long.
-func (x *Index) lasting(s *slot, at int, h Hash, now time.Time) bool {
+// fresh reports whether the entry of h needs no refresh. A prediction covers
+// all blocks before h, so their entries last at least as long.
+func (x *Index) fresh(s *slotState, slot int, h Hash, now time.Time) bool {
 	expiry, predicted := s.predicted[h]
 	if predicted {
 		return expiry.Sub(now) > s.evictionAge/2
 	}
-	return x.table.heldBy(h, at)
+	return x.table.heldBy(h, slot)
 }
 
-// slotFor returns the slot of ref and makes one for a new incarnation.
+// slotFor returns the slot of ref. It allocates one for a new incarnation.
 func (x *Index) slotFor(ref target.Ref) (int, bool) {
 	known, ok := x.targets[ref.ID]
 	if ok && known.number == ref.Incarnation {
@@ -324,7 +330,7 @@
 	return x.allocate(ref)
 }
 
-// Retract removes blocks that turned out not to be held.
+// Retract removes blocks that the target does not hold.
 func (x *Index) Retract(ref target.Ref, blocks []Hash) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -338,7 +344,8 @@
 	}
 }
 
-// RetractPredicted removes those blocks that only a prediction stands for.
+// RetractPredicted removes those blocks that are predicted but not confirmed by
+// an event.
 func (x *Index) RetractPredicted(ref target.Ref, blocks []Hash) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -355,14 +362,15 @@
 	}
 }
 
-// sweepChunk is how many positions are swept under one lock, about 0.2 ms.
+// sweepChunk is the number of table positions swept while holding the lock
+// once, which takes about 0.2 ms.
 const sweepChunk = 8192
 
 // Tick removes expired predictions and the entries of dead incarnations.
 func (x *Index) Tick() {
 	for more := true; more; {
 		x.mu.Lock()
-		more = x.sweepSome(sweepChunk)
+		more = x.sweepStep(sweepChunk)
 		x.mu.Unlock()
 	}
 	x.mu.Lock()
@@ -370,16 +378,16 @@
 	now := x.clock()
 	for _, known := range x.targets {
 		if known.alive {
-			x.expire(known.slot, now)
+			x.expirePredictions(known.slot, now)
 		}
 	}
 }
 
-func (x *Index) expire(at int, now time.Time) {
-	s := &x.slots[at]
+func (x *Index) expirePredictions(slot int, now time.Time) {
+	s := &x.slots[slot]
 	for h, expiry := range s.predicted {
 		if !now.Before(expiry) {
-			x.table.remove(h, at)
+			x.table.remove(h, slot)
 			delete(s.predicted, h)
 		}
 	}
@@ -387,7 +395,7 @@
 
 // Stats describes the size of an index.
 type Stats struct {
-	// Blocks, Bytes and Targets count what is held.
+	// Blocks and Targets are counts; Bytes is the memory used by the table.
 	Blocks, Bytes, Targets int
 }
 
@@ -395,5 +403,5 @@
 func (x *Index) Stats() Stats {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
-	return Stats{Blocks: x.table.count, Bytes: x.table.bytes(), Targets: x.live.count()}
+	return Stats{Blocks: x.table.count, Bytes: x.table.memoryBytes(), Targets: x.live.count()}
 }
--- a/internal/prefix/intents.go
+++ b/internal/prefix/intents.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// intentFor is how long a VM that asked may take until its choice counts as
-// failed. A round trip inside the region takes 1 ms.
-const intentFor = 10 * time.Millisecond
+// placementTimeout is how long the first VM has to place its request before the
+// placement counts as failed. A round trip inside the region takes 1 ms.
+const placementTimeout = 10 * time.Millisecond
 
-// Intents coalesces requests for one cold prefix that reach several VMs at
-// once: the owner of the chain lets the first VM choose, and the others wait
-// for its choice. It is safe for concurrent use.
+// Intents coalesces simultaneous requests for a cold prefix that arrive at
+// several VMs: the owner of the chain lets the first VM choose a target, and
+// the other VMs wait for that choice. It is safe for concurrent use.
 type Intents struct {
 	mu      sync.Mutex
-	pending map[Hash]*intent
+	pending map[Hash]*placement
 }
 
-type intent struct {
-	since  time.Time
-	placed chan struct{}
+type placement struct {
+	started time.Time
+	done    chan struct{}
 }
 
-// NewIntents returns an empty set.
-func NewIntents() *Intents { return &Intents{pending: make(map[Hash]*intent)} }
+// NewIntents returns an Intents without pending placements.
+func NewIntents() *Intents { return &Intents{pending: make(map[Hash]*placement)} }
 
-// Begin notes that a request for chain, of which the first blocks are held
-// somewhere, is being placed. It returns nil for the first such request, and
-// otherwise a channel that is closed once the first was placed.
+// Begin registers the placement of a request for chain, whose first held blocks
+// are held by some target. It returns nil for the first such request, and for
+// later ones a channel that is closed when the first request has been placed or
+// its placement has timed out. It also returns nil if all blocks are held.
 func (i *Intents) Begin(chain []Hash, held int, now time.Time) <-chan struct{} {
 	if held >= len(chain) {
 		return nil
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if p, ok := i.pending[chain[held]]; ok && now.Sub(p.since) < intentFor {
-		return p.placed
+	if p, ok := i.pending[chain[held]]; ok && now.Sub(p.started) < placementTimeout {
+		return p.done
 	}
 	if p, ok := i.pending[chain[held]]; ok {
-		close(p.placed)
+		close(p.done)
 	}
-	i.pending[chain[held]] = &intent{now, make(chan struct{})}
+	i.pending[chain[held]] = &placement{now, make(chan struct{})}
 	return nil
 }
 
@@ -53,19 +54,20 @@
 	}
 	for _, h := range chain {
 		if p, ok := i.pending[h]; ok {
-			close(p.placed)
+			close(p.done)
 			delete(i.pending, h)
 		}
 	}
 }
 
-// Expire forgets requests that were never placed.
+// Expire removes placements that did not complete within placementTimeout and
+// ends the wait for them.
 func (i *Intents) Expire(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for h, p := range i.pending {
-		if now.Sub(p.since) >= intentFor {
-			close(p.placed)
+		if now.Sub(p.started) >= placementTimeout {
+			close(p.done)
 			delete(i.pending, h)
 		}
 	}
--- a/internal/prefix/match.go
+++ b/internal/prefix/match.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Match is the result of a lookup. It is reused over lookups, so that they
-// allocate nothing.
+// Match is the result of a lookup. Callers reuse it, so that lookups allocate
+// nothing.
 type Match struct {
 	// Blocks is the number of leading blocks held, by slot.
 	Blocks [MaxSlots]uint16
@@ -16,16 +16,16 @@
 
 // Holding is the part of a chain that one incarnation holds.
 type Holding struct {
-	// Ref is the holder.
 	Ref target.Ref
-	// Blocks is the number of leading blocks.
+	// Blocks is the number of leading blocks held.
 	Blocks int
 }
 
-// Layout changes whenever a slot is given to another incarnation.
-func (x *Index) Layout() uint64 { return x.layout.Load() }
+// LayoutVersion returns a number that increases when a slot is allocated or
+// released.
+func (x *Index) LayoutVersion() uint64 { return x.layoutVersion.Load() }
 
-// Slot returns the slot of ref, or -1.
+// Slot returns the slot of ref, or -1 if it has none.
 func (x *Index) Slot(ref target.Ref) int {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -36,29 +36,31 @@
 	return known.slot
 }
 
-// Match finds how many leading blocks of chain each slot holds. Blocks after
-// the first missing one are useless to an engine and do not count.
+// Match computes how many leading blocks of chain each slot holds. Blocks after
+// the first missing one do not count, because an engine cannot use them.
 func (x *Index) Match(m *Match, chain []Hash) {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	x.match(m, chain)
 }
 
-// Lookup appends the incarnations that hold a leading part of chain.
+// Lookup appends a holding for each incarnation that holds leading blocks of
+// chain.
 func (x *Index) Lookup(dst []Holding, chain []Hash) []Holding {
 	var m Match
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	x.match(&m, chain)
-	for at, blocks := range m.Blocks {
+	for slot, blocks := range m.Blocks {
 		if blocks > 0 {
-			dst = append(dst, Holding{x.slots[at].ref, int(blocks)})
+			dst = append(dst, Holding{x.slots[slot].ref, int(blocks)})
 		}
 	}
 	return dst
 }
 
-// Longest returns the most leading blocks of chain that any target holds.
+// Longest returns the highest number of leading blocks of chain that any target
+// holds.
 func (x *Index) Longest(chain []Hash) int {
 	var m Match
 	x.Match(&m, chain)
@@ -70,46 +72,47 @@
 	if len(chain) == 0 {
 		return
 	}
-	running := x.certain()
-	words := x.usedWords()
+	matching := x.trustedSlots()
+	words := x.liveWords()
 	var holders slotSet
 	for i, h := range chain {
-		at, ok := x.table.find(h)
+		pos, ok := x.table.find(h)
 		if !ok {
-			m.fill(&running, i)
+			m.record(&matching, i)
 			return
 		}
-		x.table.holds(&x.table.entries[at], &holders)
+		x.table.readHolders(&x.table.entries[pos], &holders)
 		if i == 0 {
-			running.intersect(&holders)
+			matching.intersect(&holders)
 		} else {
-			m.narrow(running[:words], holders[:words], i)
+			m.recordMismatches(matching[:words], holders[:words], i)
 		}
-		if running == (slotSet{}) {
+		if matching == (slotSet{}) {
 			return
 		}
 	}
-	m.fill(&running, len(chain))
+	m.record(&matching, len(chain))
 }
 
-// certain returns the slots whose entries count.
-func (x *Index) certain() slotSet {
+// trustedSlots returns the live slots, without those whose entries no longer
+// count because of a gap in their stream.
+func (x *Index) trustedSlots() slotSet {
 	set := x.live
 	now := x.clock()
 	for w, word := range x.uncertain {
 		for ; word != 0; word &= word - 1 {
-			at := w*64 + bits.TrailingZeros64(word)
-			if !now.Before(x.slots[at].uncertain) {
-				set.remove(at)
+			slot := w*64 + bits.TrailingZeros64(word)
+			if !now.Before(x.slots[slot].trustedUntil) {
+				set.remove(slot)
 			}
 		}
 	}
 	return set
 }
 
-// usedWords returns the length of a slotSet up to the last live slot; slots
-// are given out from the lowest on.
-func (x *Index) usedWords() int {
+// liveWords returns the number of words of a slotSet up to the last live slot.
+// Slots are allocated from the lowest number upwards.
+func (x *Index) liveWords() int {
 	n := slotWords
 	for n > 0 && x.live[n-1] == 0 {
 		n--
@@ -123,20 +126,21 @@
 	}
 }
 
-// narrow records i blocks for the slots that hold no more than that.
-func (m *Match) narrow(running, holders []uint64, i int) {
-	for w := range running {
-		if running[w]&^holders[w] == 0 {
+// recordMismatches records i leading blocks for the matching slots that do not
+// hold the next block, and removes them from matching.
+func (m *Match) recordMismatches(matching, holders []uint64, i int) {
+	for w := range matching {
+		if matching[w]&^holders[w] == 0 {
 			continue
 		}
-		for gone := running[w] &^ holders[w]; gone != 0; gone &= gone - 1 {
-			m.Blocks[w*64+bits.TrailingZeros64(gone)] = uint16(i)
+		for missing := matching[w] &^ holders[w]; missing != 0; missing &= missing - 1 {
+			m.Blocks[w*64+bits.TrailingZeros64(missing)] = uint16(i)
 		}
-		running[w] &= holders[w]
+		matching[w] &= holders[w]
 	}
 }
 
-func (m *Match) fill(set *slotSet, blocks int) {
+func (m *Match) record(set *slotSet, blocks int) {
 	if blocks == 0 {
 		return
 	}
--- a/internal/prefix/owner.go
+++ b/internal/prefix/owner.go
@@ -6,14 +6,15 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Members is a set of VMs among which duties are divided by rendezvous
-// hashing: a change of the set moves only the duties of the VMs that changed.
+// Members is a set of VMs that divides chains and event streams by rendezvous
+// hashing. A change of the set reassigns only the chains and streams of the VMs
+// that were added or removed.
 type Members struct {
 	names  []string
 	hashes []uint64
 }
 
-// NewMembers returns the set of the named VMs.
+// NewMembers returns the set of VMs with the given names.
 func NewMembers(names []string) *Members {
 	m := &Members{names: names}
 	for _, name := range names {
@@ -22,49 +23,50 @@
 	return m
 }
 
-// Names returns the VMs.
+// Names returns the names of the VMs.
 func (m *Members) Names() []string { return m.names }
 
-// Owner returns the VM that owns the chains that begin with root; empty if
-// there is no VM.
-func (m *Members) Owner(root Hash) string { return m.highest(uint64(root)) }
+// Owner returns the VM that owns the chains beginning with root, or an empty
+// string if the set is empty.
+func (m *Members) Owner(root Hash) string { return m.highestScore(uint64(root)) }
 
 // Reader returns the VM that reads the event stream of a target.
-func (m *Members) Reader(targetID string) string { return m.highest(xxhash.Sum64String(targetID)) }
+func (m *Members) Reader(targetID string) string { return m.highestScore(xxhash.Sum64String(targetID)) }
 
-func (m *Members) highest(key uint64) string {
+func (m *Members) highestScore(key uint64) string {
 	best, name := uint64(0), ""
 	for i, h := range m.hashes {
-		if score := mix(h ^ key); name == "" || score > best || (score == best && m.names[i] < name) {
+		if score := splitMix64(h ^ key); name == "" || score > best || (score == best && m.names[i] < name) {
 			best, name = score, m.names[i]
 		}
 	}
 	return name
 }
 
-// mix is the finaliser of the SplitMix64 generator.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of the SplitMix64 generator.
+func splitMix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Forwarder splits the event stream of one incarnation over the owners of the
-// chains. Each owner gets a numbering of its own, so that it notices lost
-// batches.
+// Forwarder splits the event stream of one incarnation among the owners of the
+// chains. The events for each owner have their own sequence numbers, so that an
+// owner detects lost batches.
 type Forwarder struct {
-	ref     target.Ref
-	stream  uint64
-	members *Members
-	numbers map[string]uint64
+	ref       target.Ref
+	stream    uint64
+	members   *Members
+	sequences map[string]uint64
 }
 
-// NewForwarder returns a forwarder. A stream number must never be used twice.
+// NewForwarder returns a forwarder. A stream number must never be reused.
 func NewForwarder(ref target.Ref, stream uint64, members *Members) *Forwarder {
-	return &Forwarder{ref: ref, stream: stream, members: members, numbers: make(map[string]uint64)}
+	return &Forwarder{ref: ref, stream: stream, members: members, sequences: make(map[string]uint64)}
 }
 
-// Snapshot starts the stream at every owner with the content of the cache.
+// Snapshot returns the batches that start the stream at every owner with the
+// current content of the cache.
 func (f *Forwarder) Snapshot(content []Event) map[string]Batch {
 	batches := make(map[string]Batch, len(f.members.names))
 	for _, name := range f.members.names {
@@ -79,13 +81,13 @@
 	return batches
 }
 
-// Split numbers the events for their owners.
+// Split assigns events to their owners and numbers them.
 func (f *Forwarder) Split(events []Event) map[string]Batch {
 	batches := make(map[string]Batch)
 	for _, e := range events {
 		owner := f.members.Owner(e.Root)
-		f.numbers[owner]++
-		e.Sequence = f.numbers[owner]
+		f.sequences[owner]++
+		e.Sequence = f.sequences[owner]
 		b := batches[owner]
 		b.Ref, b.Stream, b.Through = f.ref, f.stream, e.Sequence
 		b.Events = append(b.Events, e)
@@ -94,13 +96,13 @@
 	return batches
 }
 
-// Gap tells every owner that events are missing, because it is unknown whose
-// events they were.
+// Gap returns batches that report a gap to every owner, because the owners of
+// the missing events are unknown.
 func (f *Forwarder) Gap() map[string]Batch {
 	batches := make(map[string]Batch, len(f.members.names))
 	for _, name := range f.members.names {
-		f.numbers[name]++
-		batches[name] = Batch{Ref: f.ref, Stream: f.stream, Through: f.numbers[name]}
+		f.sequences[name]++
+		batches[name] = Batch{Ref: f.ref, Stream: f.stream, Through: f.sequences[name]}
 	}
 	return batches
 }
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -31,7 +31,7 @@
 	return Event{Sequence: sequence, Kind: Stored, Root: chain[0], Blocks: chain}
 }
 
-func held(x *Index, r target.Ref, chain []Hash) int {
+func heldBlocks(x *Index, r target.Ref, chain []Hash) int {
 	for _, h := range x.Lookup(nil, chain) {
 		if h.Ref == r {
 			return h.Blocks
@@ -42,13 +42,13 @@
 
 func wantHeld(t *testing.T, x *Index, r target.Ref, chain []Hash, want int) {
 	t.Helper()
-	if got := held(x, r, chain); got != want {
+	if got := heldBlocks(x, r, chain); got != want {
 		t.Errorf("%v holds %d blocks, want %d", r, got, want)
 	}
 }
 
-// Guards against reuse over workspaces, weights or adapters, and against
-// hashes that do not cover everything before them.
+// Guards against sharing cached blocks between workspaces, weights or adapters,
+// and against hashes that do not cover all preceding blocks.
 func TestChainScope(t *testing.T) {
 	text := strings.Repeat("abcd", 10)
 	base := Scope{"w", "m", "v1", "a"}
@@ -73,16 +73,16 @@
 	}
 }
 
-// Guards against trust in a stream that lost events.
+// Guards against trusting a stream that has lost events.
 func TestGapMakesUncertain(t *testing.T) {
 	x, clock := newTestIndex()
 	r, a, b := ref(1, 1), chainOf(1, 3), chainOf(2, 3)
 	x.Apply(Batch{Ref: r, Stream: 7, Reset: true, Through: 4})
 	if x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(5, a)}}) {
-		t.Error("whole stream asks for a resync")
+		t.Error("Apply requested a resync for a stream without a gap")
 	}
 	if !x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(7, b)}}) {
-		t.Error("gap does not ask for a resync")
+		t.Error("Apply did not request a resync after a gap")
 	}
 	wantHeld(t, x, r, a, 3)
 	clock.now = clock.now.Add(defaultEvictionAge)
@@ -91,25 +91,25 @@
 	wantHeld(t, x, r, a, 0)
 	wantHeld(t, x, r, b, 3)
 	if !x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(8, a)}}) {
-		t.Error("superseded stream does not ask for a resync")
+		t.Error("Apply did not request a resync for a superseded stream")
 	}
 	wantHeld(t, x, r, a, 0)
 }
 
-// Guards against events that arrive twice or after a newer one.
+// Guards against applying events that arrive twice or after a newer event.
 func TestReorderedEvents(t *testing.T) {
 	x, _ := newTestIndex()
 	r, a := ref(1, 1), chainOf(1, 3)
 	x.Apply(Batch{Ref: r, Stream: 7, Reset: true})
 	x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(1, a), {Sequence: 2, Kind: Evicted, Root: a[0], Blocks: a[1:]}}})
 	if x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(1, a)}}) {
-		t.Error("repeated event asks for a resync")
+		t.Error("Apply requested a resync for a repeated event")
 	}
 	wantHeld(t, x, r, a, 1)
 }
 
-// Guards against entries of dead incarnations, also by late events and after
-// the slot was given to another target.
+// Guards against matching entries of dead incarnations, also after late events
+// and after the slot was reused by another target.
 func TestDeadIncarnation(t *testing.T) {
 	x, _ := newTestIndex()
 	old, a := ref(1, 1), chainOf(1, 3)
@@ -128,32 +128,32 @@
 		x.Predict(ref(i, 1), chainOf(i, 1), 0)
 	}
 	if got := x.Lookup(nil, a); len(got) != 0 {
-		t.Errorf("reused slots hold %v", got)
+		t.Errorf("Lookup after slot reuse = %v, want no holdings", got)
 	}
 }
 
-// Guards against VMs that compute one cold prefix twice because they asked at
-// the same time, and against waiting for a VM that died.
+// Guards against VMs computing a cold prefix twice because they ask at the same
+// time, and against waiting for a VM that has died.
 func TestIntents(t *testing.T) {
 	intents, now, chain := NewIntents(), time.Unix(1000, 0), chainOf(1, 3)
 	if intents.Begin(chain, 1, now) != nil {
-		t.Error("first request waits")
+		t.Error("first request has to wait")
 	}
 	placed := intents.Begin(chain, 1, now)
 	if placed == nil {
-		t.Fatal("second request does not wait")
+		t.Fatal("second request does not have to wait")
 	}
 	if intents.Begin(chain, 3, now) != nil {
-		t.Error("request for held blocks waits")
+		t.Error("request for blocks that are already held has to wait")
 	}
 	intents.Placed(chain)
 	<-placed
-	if intents.Begin(chain, 1, now) != nil || intents.Begin(chain, 1, now.Add(intentFor)) != nil {
-		t.Error("request waits for one that was placed or died")
+	if intents.Begin(chain, 1, now) != nil || intents.Begin(chain, 1, now.Add(placementTimeout)) != nil {
+		t.Error("request has to wait for a placement that completed or timed out")
 	}
 }
 
-// Guards against predictions that outlive the engine's eviction age.
+// Guards against predictions that outlast the engine's eviction age.
 func TestPredictionDecays(t *testing.T) {
 	x, clock := newTestIndex()
 	r, a, b := ref(1, 1), chainOf(1, 2), chainOf(2, 2)
@@ -167,9 +167,9 @@
 	wantHeld(t, x, r, b, 2)
 }
 
-// Compares the table with a plain map under random changes; guards against
-// lost or invented holders after deletion, widening, growth and sweeps that other
-// changes interrupt.
+// Compares the table with a plain map under random changes. Guards against lost
+// or spurious holders after deletion, conversion to bitsets, growth, and sweeps
+// interleaved with other changes.
 func TestTableAgainstModel(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -177,7 +177,7 @@
 		for range 60000 {
 			h, slot := rng.IntN(3000), rng.IntN(12)
 			if h >= 500 {
-				// Few holders, so that blocks often lose the last one.
+				// Only two holders, so that these blocks often lose the last one.
 				slot %= 2
 			}
 			switch {
@@ -216,8 +216,8 @@
 	}
 }
 
-// Guards against an entry that a removal moves from before the sweep to behind
-// it.
+// Guards against the sweep missing an entry that a removal moves from a
+// position not yet swept to one already swept.
 func TestSweepFollowsMovedEntries(t *testing.T) {
 	x := newTable()
 	const dead, alive, home = 1, 2, 10
@@ -238,13 +238,13 @@
 		}
 	}
 	if !x.heldBy(home+2*minTableSize, alive) {
-		t.Error("a live holder was lost")
+		t.Error("block lost its live holder in the sweep")
 	}
 }
 
-// testHash collides as hashes do: the homes of consecutive multiples would all
-// differ.
-func testHash(h int) Hash { return Hash(mix(uint64(h + 1))) }
+// testHash mixes h, so that home positions collide as with real hashes. The
+// home positions of consecutive integers would all differ.
+func testHash(h int) Hash { return Hash(splitMix64(uint64(h + 1))) }
 
 func wantSwept(t *testing.T, x *table, slot int) {
 	t.Helper()
@@ -293,7 +293,8 @@
 	b.ReportMetric(float64(stats.Bytes)/float64(stats.Blocks), "bytes/block")
 }
 
-// BenchmarkSweep removes the entries of a dead target, which holds the lock.
+// BenchmarkSweep removes the entries of a dead target. The sweep holds the
+// lock.
 func BenchmarkSweep(b *testing.B) {
 	x := benchIndex(75, 320000)
 	for n := uint64(2); b.Loop(); n++ {
--- a/internal/prefix/table.go
+++ b/internal/prefix/table.go
@@ -3,18 +3,19 @@
 import "math/bits"
 
 const (
-	// MaxSlots bounds the incarnations that one index knows; the design size
-	// is 600 engines.
+	// MaxSlots limits the number of incarnations in an index. The system is
+	// designed for 600 engines.
 	MaxSlots  = 1024
 	slotWords = MaxSlots / 64
-	// inlineHolders covers most blocks; blocks with more holders get a bit set.
+	// inlineHolders is sufficient for most blocks. The holders of other blocks
+	// are stored in a bitset.
 	inlineHolders = 4
 	minTableSize  = 1024
-	// The table grows when more than maxFillNum/maxFillDen of it is in use.
-	maxFillNum, maxFillDen = 4, 5
+	// The table grows when its load factor would exceed
+	// maxLoadFactorNum/maxLoadFactorDen.
+	maxLoadFactorNum, maxLoadFactorDen = 4, 5
 )
 
-// slotSet is a set of slots.
 type slotSet [slotWords]uint64
 
 func (s *slotSet) has(slot int) bool { return s[slot/64]&(1<<(slot%64)) != 0 }
@@ -29,31 +30,33 @@
 	return n
 }
 
-// entry holds the slots that have one block. A holder is stored as slot+1.
+// entry stores the slots that hold one block. A holder is stored as slot+1;
+// bitset is the index in table.bitsets plus one, or zero if the holders are
+// stored inline.
 type entry struct {
 	hash    Hash
 	holders [inlineHolders]uint16
-	wide    uint32
+	bitset  uint32
 	used    bool
 }
 
-// table is an open-addressing hash table from block to holders.
+// table is an open-addressing hash table from blocks to their holders.
 type table struct {
-	entries []entry
-	count   int
-	wide    []slotSet
-	free    []uint32
-	// sweeping are the slots being taken out of all blocks; the entries before
-	// cursor are done.
-	sweeping slotSet
-	cursor   int
+	entries     []entry
+	count       int
+	bitsets     []slotSet
+	freeBitsets []uint32
+	// sweeping holds the slots that the current sweep removes from all entries.
+	// The entries before sweepCursor are done.
+	sweeping    slotSet
+	sweepCursor int
 }
 
 func newTable() table { return table{entries: make([]entry, minTableSize)} }
 
 func (t *table) home(h Hash) int { return int(uint64(h) & uint64(len(t.entries)-1)) }
 
-// find returns the position of h, or the empty position where it belongs.
+// find returns the position of h, or the empty position at which to insert it.
 func (t *table) find(h Hash) (int, bool) {
 	mask := len(t.entries) - 1
 	for i := t.home(h); ; i = (i + 1) & mask {
@@ -70,7 +73,7 @@
 func (t *table) add(h Hash, slot int) {
 	i, ok := t.find(h)
 	if !ok {
-		if (t.count+1)*maxFillDen > len(t.entries)*maxFillNum {
+		if (t.count+1)*maxLoadFactorDen > len(t.entries)*maxLoadFactorNum {
 			t.grow()
 			i, _ = t.find(h)
 		}
@@ -81,54 +84,55 @@
 }
 
 func (t *table) addHolder(e *entry, slot int) {
-	if e.wide != 0 {
-		t.wide[e.wide-1].add(slot)
+	if e.bitset != 0 {
+		t.bitsets[e.bitset-1].add(slot)
 		return
 	}
 	id := uint16(slot + 1)
-	for i, held := range e.holders {
-		if held == id {
+	for i, holder := range e.holders {
+		if holder == id {
 			return
 		}
-		if held == 0 {
+		if holder == 0 {
 			e.holders[i] = id
 			return
 		}
 	}
-	t.widen(e)
-	t.wide[e.wide-1].add(slot)
+	t.convertToBitset(e)
+	t.bitsets[e.bitset-1].add(slot)
 }
 
-func (t *table) widen(e *entry) {
-	if n := len(t.free); n > 0 {
-		e.wide = t.free[n-1]
-		t.free = t.free[:n-1]
-		t.wide[e.wide-1] = slotSet{}
+func (t *table) convertToBitset(e *entry) {
+	if n := len(t.freeBitsets); n > 0 {
+		e.bitset = t.freeBitsets[n-1]
+		t.freeBitsets = t.freeBitsets[:n-1]
+		t.bitsets[e.bitset-1] = slotSet{}
 	} else {
-		t.wide = append(t.wide, slotSet{})
-		e.wide = uint32(len(t.wide))
+		t.bitsets = append(t.bitsets, slotSet{})
+		e.bitset = uint32(len(t.bitsets))
 	}
-	for _, held := range e.holders {
-		t.wide[e.wide-1].add(int(held) - 1)
+	for _, holder := range e.holders {
+		t.bitsets[e.bitset-1].add(int(holder) - 1)
 	}
 }
 
 func (t *table) remove(h Hash, slot int) {
 	if i, ok := t.find(h); ok {
-		t.removeAt(i, func(e *entry) { t.removeHolder(e, slot) })
+		t.updateAt(i, func(e *entry) { t.removeHolder(e, slot) })
 	}
 }
 
-// removeAt applies change and deletes the entry if no holder is left. It
-// reports whether another entry may have taken the position.
-func (t *table) removeAt(i int, change func(*entry)) bool {
+// updateAt applies change to the entry at i and deletes the entry if it has no
+// holders left. It reports whether the entry was deleted; another entry may
+// then have moved to i.
+func (t *table) updateAt(i int, change func(*entry)) bool {
 	e := &t.entries[i]
 	change(e)
-	if e.wide != 0 {
-		if t.wide[e.wide-1].count() > 0 {
+	if e.bitset != 0 {
+		if t.bitsets[e.bitset-1].count() > 0 {
 			return false
 		}
-		t.free = append(t.free, e.wide)
+		t.freeBitsets = append(t.freeBitsets, e.bitset)
 	} else if e.holders[0] != 0 {
 		return false
 	}
@@ -137,56 +141,56 @@
 }
 
 func (t *table) removeHolder(e *entry, slot int) {
-	if e.wide != 0 {
-		t.wide[e.wide-1].remove(slot)
+	if e.bitset != 0 {
+		t.bitsets[e.bitset-1].remove(slot)
 		return
 	}
-	t.keepHolders(e, func(held int) bool { return held != slot })
+	t.filterHolders(e, func(other int) bool { return other != slot })
 }
 
-func (t *table) keepHolders(e *entry, keep func(slot int) bool) {
+func (t *table) filterHolders(e *entry, keep func(slot int) bool) {
 	n := 0
-	for _, held := range e.holders {
-		if held != 0 && keep(int(held)-1) {
-			e.holders[n] = held
+	for _, holder := range e.holders {
+		if holder != 0 && keep(int(holder)-1) {
+			e.holders[n] = holder
 			n++
 		}
 	}
 	clear(e.holders[n:])
 }
 
-// beginSweep starts taking the slots of gone out of every block.
-func (t *table) beginSweep(gone slotSet) { t.sweeping, t.cursor = gone, 0 }
+// beginSweep starts a sweep that removes slots from all entries.
+func (t *table) beginSweep(slots slotSet) { t.sweeping, t.sweepCursor = slots, 0 }
 
-// sweep goes through up to n positions. It reports true at the end of the
-// table. Blocks may be added and removed between calls.
+// sweep processes up to n positions. It reports true at the end of the table.
+// Blocks may be added and removed between calls.
 func (t *table) sweep(n int) bool {
-	for ; n > 0 && t.cursor < len(t.entries); n-- {
-		if !t.entries[t.cursor].used || !t.removeAt(t.cursor, t.strip) {
-			t.cursor++
+	for ; n > 0 && t.sweepCursor < len(t.entries); n-- {
+		if !t.entries[t.sweepCursor].used || !t.updateAt(t.sweepCursor, t.removeSwept) {
+			t.sweepCursor++
 		}
 	}
-	if t.cursor < len(t.entries) {
+	if t.sweepCursor < len(t.entries) {
 		return false
 	}
-	t.sweeping, t.cursor = slotSet{}, 0
+	t.sweeping, t.sweepCursor = slotSet{}, 0
 	return true
 }
 
-// strip takes the slots being swept out of e.
-func (t *table) strip(e *entry) {
-	if e.wide == 0 {
-		t.keepHolders(e, func(slot int) bool { return !t.sweeping.has(slot) })
+// removeSwept removes the slots being swept from e.
+func (t *table) removeSwept(e *entry) {
+	if e.bitset == 0 {
+		t.filterHolders(e, func(slot int) bool { return !t.sweeping.has(slot) })
 		return
 	}
-	set := &t.wide[e.wide-1]
+	set := &t.bitsets[e.bitset-1]
 	for w := range set {
 		set[w] &^= t.sweeping[w]
 	}
 }
 
-// delete closes the gap by moving later entries back, so that no tombstones
-// build up.
+// delete removes the entry at i and shifts later entries back, so that no
+// tombstones accumulate.
 func (t *table) delete(i int) {
 	mask := len(t.entries) - 1
 	t.count--
@@ -194,10 +198,10 @@
 		distance := (j - t.home(t.entries[j].hash)) & mask
 		if distance >= (j-i)&mask {
 			t.entries[i] = t.entries[j]
-			if i < t.cursor && j >= t.cursor {
-				// The sweep would miss the entry. If no holder is left, the
-				// entry stays without one until the next sweep.
-				t.strip(&t.entries[i])
+			if i < t.sweepCursor && j >= t.sweepCursor {
+				// The sweep would skip this entry. If no holder is left, the entry
+				// stays without holders until the next sweep.
+				t.removeSwept(&t.entries[i])
 			}
 			i = j
 		}
@@ -207,7 +211,7 @@
 
 func (t *table) grow() {
 	old := t.entries
-	t.cursor = 0
+	t.sweepCursor = 0
 	t.entries = make([]entry, 2*len(old))
 	for _, e := range old {
 		if e.used {
@@ -217,18 +221,18 @@
 	}
 }
 
-// holds adds the holders of e to set.
-func (t *table) holds(e *entry, set *slotSet) {
-	if e.wide != 0 {
-		*set = t.wide[e.wide-1]
+// readHolders sets set to the holders of e.
+func (t *table) readHolders(e *entry, set *slotSet) {
+	if e.bitset != 0 {
+		*set = t.bitsets[e.bitset-1]
 		return
 	}
 	*set = slotSet{}
-	for _, held := range e.holders {
-		if held == 0 {
+	for _, holder := range e.holders {
+		if holder == 0 {
 			return
 		}
-		set.add(int(held) - 1)
+		set.add(int(holder) - 1)
 	}
 }
 
@@ -238,19 +242,19 @@
 		return false
 	}
 	e := &t.entries[i]
-	if e.wide != 0 {
-		return t.wide[e.wide-1].has(slot)
+	if e.bitset != 0 {
+		return t.bitsets[e.bitset-1].has(slot)
 	}
-	for _, held := range e.holders {
-		if held == uint16(slot+1) {
+	for _, holder := range e.holders {
+		if holder == uint16(slot+1) {
 			return true
 		}
 	}
 	return false
 }
 
-// bytes returns the memory of the table.
-func (t *table) bytes() int {
-	const entryBytes, wideBytes = 24, slotWords * 8
-	return len(t.entries)*entryBytes + cap(t.wide)*wideBytes
+// memoryBytes returns the memory used by the table.
+func (t *table) memoryBytes() int {
+	const entryBytes, bitsetBytes = 24, slotWords * 8
+	return len(t.entries)*entryBytes + cap(t.bitsets)*bitsetBytes
 }
--- a/internal/routing/baseline.go
+++ b/internal/routing/baseline.go
@@ -1,4 +1,4 @@
-// Package routing chooses the target of a request. The package does no I/O.
+// Package routing chooses the target for a request. It does no I/O.
 package routing
 
 import (
@@ -13,14 +13,13 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// LeastOutstanding picks the engine with the fewest requests in flight from
-// this VM. It is the baseline that prefix-aware routing is measured against.
+// LeastOutstanding picks the engine with the fewest in-flight requests from
+// this VM. It is the baseline against which prefix-aware routing is measured.
 type LeastOutstanding struct {
-	// Registry knows the targets.
+	// Registry lists the known targets.
 	Registry *target.Registry
-	// Clock returns the current time.
-	Clock serving.Clock
-	// Rand breaks ties.
+	Clock    serving.Clock
+	// Rand breaks ties between equally loaded engines.
 	Rand *rand.Rand
 
 	mu       sync.Mutex
@@ -38,19 +37,19 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	best := l.least(engines)
+	best := l.leastLoaded(engines)
 	if l.inFlight == nil {
 		l.inFlight = make(map[string]int)
 	}
 	l.inFlight[best.ID]++
 	return &serving.Pick{
 		Target: best,
-		Prefix: hintOf(req.Call),
+		Prefix: prefixHint(req.Call),
 		Done:   func(serving.AttemptResult) { l.release(best.ID) },
 	}, nil
 }
 
-// NoTarget refuses a request for which no target is usable.
+// NoTarget is the refusal returned when no usable target exists for a request.
 var NoTarget = &serving.Refusal{
 	Status:     http.StatusServiceUnavailable,
 	Code:       "no_target",
@@ -59,7 +58,7 @@
 	RetryAfter: time.Second,
 }
 
-func (l *LeastOutstanding) least(engines []*target.Target) *target.Target {
+func (l *LeastOutstanding) leastLoaded(engines []*target.Target) *target.Target {
 	l.Rand.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
 	return slices.MinFunc(engines, func(a, b *target.Target) int {
 		return l.inFlight[a.ID] - l.inFlight[b.ID]
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// linkBudget limits what this VM sends over the link between regions. The
-// link's rate is divided by the number of VM slots, so that all VMs together
-// stay within it. A prompt may overdraw the budget, because it is sent whole;
-// nothing more is sent until the debt is paid.
-type linkBudget struct {
-	level float64
-	last  time.Time
+// byteBucket is a token bucket in bytes that limits what this VM sends over a
+// shared link. The rate of the link is divided by the number of VM slots, so
+// that all VMs together stay within it. A transfer is sent whole and may
+// overdraw the bucket; nothing more is sent until the level is positive again.
+type byteBucket struct {
+	level    float64
+	refilled time.Time
 }
 
-// linkBurst is how much unused budget is kept.
-const linkBurst = time.Second
+// burstWindow limits the unused bandwidth that accumulates.
+const burstWindow = time.Second
 
-// available reports whether the link may be used now.
-func (b *linkBudget) available(now time.Time, bytesPerSecond float64) bool {
-	if b.last.IsZero() {
-		b.level = bytesPerSecond * linkBurst.Seconds()
+// available refills the bucket and reports whether a transfer may start.
+func (b *byteBucket) available(now time.Time, bytesPerSecond float64) bool {
+	if b.refilled.IsZero() {
+		b.level = bytesPerSecond * burstWindow.Seconds()
 	} else {
-		b.level += bytesPerSecond * now.Sub(b.last).Seconds()
-		b.level = min(b.level, bytesPerSecond*linkBurst.Seconds())
+		b.level += bytesPerSecond * now.Sub(b.refilled).Seconds()
+		b.level = min(b.level, bytesPerSecond*burstWindow.Seconds())
 	}
-	b.last = now
+	b.refilled = now
 	return b.level > 0
 }
 
-func (b *linkBudget) spend(bytes int) { b.level -= float64(bytes) }
+func (b *byteBucket) take(bytes int) { b.level -= float64(bytes) }
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -11,62 +11,68 @@
 // choice is a candidate with its expected cost.
 type choice struct {
 	*candidate
-	// cost is the expected time to first token, with workWeight.
-	cost    time.Duration
-	prefill time.Duration
-	blocks  int
-	imports bool
-	away    bool
+	// cost is the expected time to first token plus the prefill penalty; see
+	// prefillPenaltyDivisor.
+	cost        time.Duration
+	prefill     time.Duration
+	heldBlocks  int
+	importsKV   bool
+	crossRegion bool
 }
 
-// firstToken returns the expected time to first token.
-func (c *choice) firstToken() time.Duration { return c.cost - c.prefill/workShare }
+// timeToFirstToken returns the expected time to first token, which is the cost
+// without the prefill penalty.
+func (c *choice) timeToFirstToken() time.Duration { return c.cost - c.prefill/prefillPenaltyDivisor }
 
 const (
-	// workShare adds a quarter of the prefill work to the cost, because the
-	// work delays the requests behind this one. Without it, half of the
-	// requests that wait for a prefill would repeat it elsewhere.
-	workShare = 4
-	// nearEqual is the part of the best cost within which targets count as
-	// equal; loads are estimates, so that smaller differences mean nothing.
-	nearEqual = 0.05
-	// maxNearEqual keeps a target that lacks a block from counting as equal
-	// to one that holds it: a block of 1,000 tokens takes 50 ms.
-	maxNearEqual = 5 * time.Millisecond
-	minNearEqual = time.Millisecond
+	// prefillPenaltyDivisor sets the prefill penalty: a quarter of the prefill
+	// time is added to the cost, because the prefill delays the requests queued
+	// behind it. Without the penalty, half of the requests waiting for the
+	// prefill of their prefix would be sent to another target and repeat it
+	// there.
+	prefillPenaltyDivisor = 4
+	// tieTolerance is the fraction of the lowest cost within which candidates
+	// are considered equal. Loads are estimates, so smaller differences are not
+	// significant.
+	tieTolerance = 0.05
+	// maxTieTolerance prevents a tie between a target that lacks a block and one
+	// that holds it: computing a block of 1,000 tokens takes 50 ms.
+	maxTieTolerance = 5 * time.Millisecond
+	minTieTolerance = time.Millisecond
 )
 
-// choose returns the best target. It crosses the region only if the home
-// region cannot meet the objective of the route.
+// choose returns the best candidate. It considers other regions only if the
+// home region cannot meet the latency objective of the route.
 func (p *Picker) choose(q *query) (*choice, bool) {
 	best, ok := p.cheapest(q, q.group.home, false)
-	if len(q.group.away) == 0 || (ok && best.firstToken() <= firstTokenObjective(q.req.Call)) {
+	if len(q.group.crossRegion) == 0 || (ok && best.timeToFirstToken() <= firstTokenObjective(q.req.Call)) {
 		return best, ok
 	}
 	snap := q.req.Call.Snapshot
 	rate := float64(snap.Document.Limits.RegionLinkBytesPerSecond)
-	if !p.link.available(q.now, rate/float64(max(1, snap.Slots()))) {
+	if !p.regionLink.available(q.now, rate/float64(max(1, snap.Slots()))) {
 		return best, ok
 	}
 	transfer := time.Duration(float64(len(q.req.Call.Body)) / rate * float64(time.Second))
-	far, found := p.cheapest(q, q.group.away, true)
+	remote, found := p.cheapest(q, q.group.crossRegion, true)
 	if !found {
 		return best, ok
 	}
-	far.cost += transfer
-	if !ok || far.cost < best.cost {
-		return far, true
+	remote.cost += transfer
+	if !ok || remote.cost < best.cost {
+		return remote, true
 	}
 	return best, ok
 }
 
-// cheapest chooses at random among the candidates whose cost is near the
-// least, so that VMs with the same stale report do not all choose the same.
-func (p *Picker) cheapest(q *query, candidates []candidate, away bool) (*choice, bool) {
+// cheapest chooses at random among the candidates whose cost is close to the
+// lowest, so that VMs with the same stale load report do not all choose the
+// same target.
+func (p *Picker) cheapest(q *query, candidates []candidate, crossRegion bool) (*choice, bool) {
 	p.costs = resize(p.costs, len(candidates))
 	least := time.Duration(-1)
 	for i := range candidates {
-		p.costs[i] = p.cost(q, candidates, i, away)
+		p.costs[i] = p.cost(q, candidates, i, crossRegion)
 		if p.costs[i] >= 0 && (least < 0 || p.costs[i] < least) {
 			least = p.costs[i]
 		}
@@ -74,12 +80,13 @@
 	if least < 0 {
 		return nil, false
 	}
-	limit := least + min(maxNearEqual, max(minNearEqual, time.Duration(nearEqual*float64(least))))
+	limit := least + min(maxTieTolerance, max(minTieTolerance, time.Duration(tieTolerance*float64(least))))
 	chosen := p.randomWithin(limit)
-	return p.describe(q, candidates, chosen, away), true
+	return p.newChoice(q, candidates, chosen, crossRegion), true
 }
 
-// randomWithin returns the index of one of the costs up to limit.
+// randomWithin returns the index of a random candidate whose cost is at most
+// limit.
 func (p *Picker) randomWithin(limit time.Duration) int {
 	count := 0
 	for _, cost := range p.costs {
@@ -97,56 +104,59 @@
 		}
 		nth--
 	}
-	panic("routing: no cost within the limit")
+	panic("routing: no candidate with a cost within the limit")
 }
 
-// cost returns the expected time to first token and a share of the prefill
-// work, negative if the candidate is
-// excluded.
-func (p *Picker) cost(q *query, candidates []candidate, i int, away bool) time.Duration {
+// cost returns the expected time to first token plus the prefill penalty; it is
+// negative if the candidate is excluded.
+func (p *Picker) cost(q *query, candidates []candidate, i int, crossRegion bool) time.Duration {
 	c := &candidates[i]
 	if len(q.req.Exclude) > 0 && slices.Contains(q.req.Exclude, c.target.Ref()) {
 		return -1
 	}
-	prefill, _ := q.prefill(c, p.held(q, c, i, away))
-	return c.fixed + c.load.wait(q.instant, q.hold) + prefill + prefill/workShare
+	prefill, _ := q.prefillTime(c, p.heldBlocks(q, c, i, crossRegion))
+	return c.fixedCost + c.load.expectedWait(q.elapsed, q.holdTime) + prefill + prefill/prefillPenaltyDivisor
 }
 
-// held returns the leading blocks that candidate i is believed to hold.
-func (p *Picker) held(q *query, c *candidate, i int, away bool) int {
-	if q.answered && !away {
-		return p.remote[i]
+// heldBlocks returns how many leading blocks of the chain candidate i is
+// expected to hold.
+func (p *Picker) heldBlocks(q *query, c *candidate, i int, crossRegion bool) int {
+	if q.ownerAnswered && !crossRegion {
+		return p.ownerBlocks[i]
 	}
-	return matched(&p.match, c)
+	return matchedBlocks(&p.match, c)
 }
 
-// prefill returns the time to compute, or import, what is missing.
-func (q *query) prefill(c *candidate, blocks int) (time.Duration, bool) {
+// prefillTime returns the time to compute or import the missing blocks, given
+// the number of leading blocks that the candidate holds. It reports true if
+// blocks are imported from a KV store.
+func (q *query) prefillTime(c *candidate, blocks int) (time.Duration, bool) {
 	missing := time.Duration(len(q.chain) - blocks)
-	gain := time.Duration(q.stored - blocks)
-	if gain > 0 && c.target.Capabilities.KV && q.kvBlock < q.block {
-		return (missing-gain)*q.block + gain*q.kvBlock + q.rest, true
+	gain := time.Duration(q.storeBlocks - blocks)
+	if gain > 0 && c.target.Capabilities.KV && q.blockImport < q.blockPrefill {
+		return (missing-gain)*q.blockPrefill + gain*q.blockImport + q.tailPrefill, true
 	}
-	return missing*q.block + q.rest, false
+	return missing*q.blockPrefill + q.tailPrefill, false
 }
 
-func (p *Picker) describe(q *query, candidates []candidate, i int, away bool) *choice {
-	c := &choice{candidate: &candidates[i], cost: p.costs[i], away: away}
-	c.blocks = p.held(q, c.candidate, i, away)
-	c.prefill, c.imports = q.prefill(c.candidate, c.blocks)
+func (p *Picker) newChoice(q *query, candidates []candidate, i int, crossRegion bool) *choice {
+	c := &choice{candidate: &candidates[i], cost: p.costs[i], crossRegion: crossRegion}
+	c.heldBlocks = p.heldBlocks(q, c.candidate, i, crossRegion)
+	c.prefill, c.importsKV = q.prefillTime(c.candidate, c.heldBlocks)
 	return c
 }
 
 const (
-	// recentFor is how long this VM's own choices are added to the owner's
-	// answers; by then the owner has heard of them.
-	recentFor     = 100 * time.Millisecond
-	recentEntries = 64
+	// recentChoiceTTL is how long this VM adds its own choices to the owner's
+	// answers. After that time the owner has received them.
+	recentChoiceTTL  = 100 * time.Millisecond
+	maxRecentChoices = 64
 )
 
-// recentChoices remembers where this VM sent which chain.
+// recentChoices is a ring buffer of the chains that this VM dispatched and
+// their targets.
 type recentChoices struct {
-	entries [recentEntries]recentChoice
+	entries [maxRecentChoices]recentChoice
 	next    int
 }
 
@@ -158,14 +168,15 @@
 
 func (r *recentChoices) add(now time.Time, ref target.Ref, chain []prefix.Hash) {
 	r.entries[r.next] = recentChoice{now, ref, chain}
-	r.next = (r.next + 1) % recentEntries
+	r.next = (r.next + 1) % maxRecentChoices
 }
 
-// each calls f for the recent choices that share leading blocks with chain.
-func (r *recentChoices) each(now time.Time, chain []prefix.Hash, f func(ref target.Ref, blocks int)) {
+// eachMatching calls f for each recent choice that shares leading blocks with
+// chain, with the number of shared blocks.
+func (r *recentChoices) eachMatching(now time.Time, chain []prefix.Hash, f func(ref target.Ref, blocks int)) {
 	for i := range r.entries {
 		e := &r.entries[i]
-		if len(e.chain) == 0 || e.chain[0] != chain[0] || now.Sub(e.at) > recentFor {
+		if len(e.chain) == 0 || e.chain[0] != chain[0] || now.Sub(e.at) > recentChoiceTTL {
 			continue
 		}
 		n := 0
--- a/internal/routing/kv.go
+++ b/internal/routing/kv.go
@@ -10,57 +10,59 @@
 
 const (
 	// kvBytesPerSecond is the assumed throughput between a KV store and an
-	// engine of its region, 10 Gbit/s.
+	// engine of its region: 10 Gbit/s.
 	kvBytesPerSecond = 1.25e9
-	// exportShare is the part of that throughput that all VMs together use to
-	// fill the stores.
-	exportShare = 0.25
-	// exportPause is how long a chain is not exported again; its events take
-	// a moment to arrive, and an export may fail.
-	exportPause = 5 * time.Second
-	// maxExports bounds the chains that are remembered.
-	maxExports = 1024
+	// exportBandwidthShare is the fraction of that throughput that all VMs
+	// together use for exports.
+	exportBandwidthShare = 0.25
+	// exportCooldown is the minimum time between two exports of a chain. The
+	// cache events that confirm an export arrive with a delay. After the
+	// cooldown, an export that failed can be repeated.
+	exportCooldown = 5 * time.Second
+	// maxRecentExports limits the size of the map of recent exports.
+	maxRecentExports = 1024
 )
 
-// Export asks a KV store to take blocks over from an engine.
+// Export is a request to copy blocks from an engine to a KV store.
 type Export struct {
-	// Store takes the blocks, Source holds them.
+	// Store imports the blocks from Source.
 	Store, Source *target.Target
-	// Scope and Blocks name them.
+	// Scope and Blocks identify the blocks.
 	Scope  prefix.ScopeDigest
 	Blocks []prefix.Hash
 }
 
-// exports remembers what was exported lately.
-type exports struct {
-	budget linkBudget
-	last   map[prefix.Hash]time.Time
+// exportLimiter limits the bandwidth of exports and the rate at which one chain
+// is exported.
+type exportLimiter struct {
+	bucket     byteBucket
+	lastExport map[prefix.Hash]time.Time
 }
 
-// findStore looks for the KV store that holds most of the chain.
+// findStore finds the KV store that holds the most leading blocks of the chain.
 func (p *Picker) findStore(q *query, holdings []prefix.Holding) {
-	if q.kvBlock >= q.block {
+	if q.blockImport >= q.blockPrefill {
 		return
 	}
 	for i := range q.group.stores {
 		s := &q.group.stores[i]
-		blocks := matched(&p.match, s)
+		blocks := matchedBlocks(&p.match, s)
 		for _, h := range holdings {
 			if h.Ref == s.target.Ref() {
 				blocks = max(blocks, h.Blocks)
 			}
 		}
-		if blocks > q.stored {
-			q.stored, q.store = blocks, s
+		if blocks > q.storeBlocks {
+			q.storeBlocks, q.store = blocks, s
 		}
 	}
 }
 
-// export copies blocks to a store once they are reused: a second use shows
-// that the prefix is shared. Blocks are not worth it where computing them is
-// faster than importing them.
-func (p *Picker) export(q *query, c *choice, scope prefix.ScopeDigest) {
-	if p.Export == nil || c.away || q.kvBlock >= q.block || len(q.group.stores) == 0 || c.blocks <= q.stored || !c.target.Capabilities.KV {
+// exportToStore copies blocks to a KV store when they are reused, because a
+// second use shows that the prefix is shared. Blocks that are faster to compute
+// than to import are not exported.
+func (p *Picker) exportToStore(q *query, c *choice, scope prefix.ScopeDigest) {
+	if p.Export == nil || c.crossRegion || q.blockImport >= q.blockPrefill || len(q.group.stores) == 0 || c.heldBlocks <= q.storeBlocks || !c.target.Capabilities.KV {
 		return
 	}
 	store := q.store
@@ -68,29 +70,30 @@
 		store = &q.group.stores[0]
 	}
 	snap := q.req.Call.Snapshot
-	blocks := q.chain[:c.blocks]
-	rate := kvBytesPerSecond * exportShare / float64(max(1, snap.Slots()))
-	if !store.target.Usable(q.now) || !p.kv.due(blocks[len(blocks)-1], q.now) || !p.kv.budget.available(q.now, rate) {
+	blocks := q.chain[:c.heldBlocks]
+	rate := kvBytesPerSecond * exportBandwidthShare / float64(max(1, snap.Slots()))
+	if !store.target.Usable(q.now) || !p.exportLimiter.cooldownElapsed(blocks[len(blocks)-1], q.now) || !p.exportLimiter.bucket.available(q.now, rate) {
 		return
 	}
-	p.kv.last[blocks[len(blocks)-1]] = q.now
-	p.kv.budget.spend((c.blocks - q.stored) * blockBytes(snap, q.req.Call.Model))
+	p.exportLimiter.lastExport[blocks[len(blocks)-1]] = q.now
+	p.exportLimiter.bucket.take((c.heldBlocks - q.storeBlocks) * kvBlockBytes(snap, q.req.Call.Model))
 	p.Export(Export{Store: store.target, Source: c.target, Scope: scope, Blocks: blocks})
 }
 
-// due reports whether the chain that ends with h was not exported lately.
-func (e *exports) due(h prefix.Hash, now time.Time) bool {
-	if len(e.last) >= maxExports {
-		clear(e.last)
+// cooldownElapsed reports whether the chain ending with h may be exported
+// again.
+func (e *exportLimiter) cooldownElapsed(h prefix.Hash, now time.Time) bool {
+	if len(e.lastExport) >= maxRecentExports {
+		clear(e.lastExport)
 	}
-	if e.last == nil {
-		e.last = make(map[prefix.Hash]time.Time)
+	if e.lastExport == nil {
+		e.lastExport = make(map[prefix.Hash]time.Time)
 	}
-	last, ok := e.last[h]
-	return !ok || now.Sub(last) >= exportPause
+	last, ok := e.lastExport[h]
+	return !ok || now.Sub(last) >= exportCooldown
 }
 
-func blockBytes(snap *config.Snapshot, model string) int {
+func kvBlockBytes(snap *config.Snapshot, model string) int {
 	m := snap.Document.Models[model]
 	return m.BlockTokens * m.KVBytesPerToken
 }
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -7,121 +7,125 @@
 )
 
 const (
-	// rememberedDispatches covers the dispatches to one target between two
-	// load reports; older ones are part of the report.
-	rememberedDispatches = 32
-	// defaultHold stands in for the time that a request keeps a batch slot
-	// until answers were observed.
-	defaultHold = 2 * time.Second
-	holdWeight  = 1.0 / 32
+	// maxRecentDispatches limits the dispatches to one target that are kept
+	// until the next load report. Older dispatches are included in the report.
+	maxRecentDispatches = 32
+	// defaultHoldTime is the assumed time that a request occupies a batch slot
+	// until durations have been observed.
+	defaultHoldTime = 2 * time.Second
+	holdTimeWeight  = 1.0 / 32
 )
 
-// instant is the time since the picker's epoch; durations are compared much
-// faster than values of type time.Time.
+// instant is the time since the picker's epoch. Comparing durations is much
+// faster than comparing values of type time.Time.
 type instant = time.Duration
 
-// reportLag is the assumed age of a load report when it is heard. Work that
-// was sent within the lag is added to the report.
+// reportLag is the assumed age of a load report on receipt. Requests dispatched
+// within the lag are added to the reported load.
 const reportLag = 200 * time.Millisecond
 
-// reportLife is how long a report says something about the requests of other
-// VMs. Reports of targets in other zones may fail to come.
-const reportLife = 3 * time.Second
+// reportTTL is how long a report counts as evidence of the in-flight requests
+// of other VMs. Reports of targets in other zones may be lost.
+const reportTTL = 3 * time.Second
 
-// dispatch is one request sent to a target.
-type dispatch struct {
-	at   instant
-	work time.Duration
-	own  bool
+// recentDispatch is a request sent to a target.
+type recentDispatch struct {
+	at      instant
+	prefill time.Duration
+	own     bool
 }
 
-// load is what this VM believes about the work queued at one incarnation. It
-// starts from the last report and adds what this VM and its peers sent since.
-type load struct {
+// loadEstimate is this VM's estimate of the work queued at one incarnation: the
+// last load report plus the requests that this VM and its peers have dispatched
+// since.
+type loadEstimate struct {
 	ref      target.Ref
 	sequence uint64
-	// reported is when the prefill work of the last report, and of what was
-	// sent since, is done.
-	reported instant
-	// sent is when the prefill work that is known to be sent is done. It
-	// guards against reports that are older than assumed.
-	sent instant
-	// others counts the requests of other VMs in the last report, which was
-	// heard at heard, and those that they sent since.
-	others int
-	heard  instant
-	// own counts the requests of this VM in flight.
-	own    int
-	slots  int
-	recent [rememberedDispatches]dispatch
-	next   int
+	// reportedBusyUntil is when the target finishes the prefill work of the last
+	// report and of the requests dispatched since.
+	reportedBusyUntil instant
+	// sentBusyUntil is when the target finishes the prefill work known to be
+	// dispatched. It guards against reports that are older than reportLag.
+	sentBusyUntil instant
+	// othersInFlight counts the requests of other VMs: those in the last report,
+	// which was received at reportReceived, and those dispatched since.
+	othersInFlight int
+	reportReceived instant
+	// ownInFlight counts the in-flight requests of this VM.
+	ownInFlight int
+	batchSlots  int
+	recent      [maxRecentDispatches]recentDispatch
+	next        int
 }
 
-// heartbeat takes over the load in a heartbeat that is newer than the last one.
-func (l *load) heartbeat(t *target.Target, heard instant, tokensPerSecond float64) {
+// applyHeartbeat applies the load in a heartbeat if the heartbeat is newer than
+// the last one.
+func (l *loadEstimate) applyHeartbeat(t *target.Target, received instant, tokensPerSecond float64) {
 	if t.Sequence == l.sequence {
 		return
 	}
 	l.sequence = t.Sequence
-	l.slots = t.BatchSlots
-	l.report(t.Load, heard, tokensPerSecond)
+	l.batchSlots = t.BatchSlots
+	l.applyReport(t.Load, received, tokensPerSecond)
 }
 
-// report takes over a load report.
-func (l *load) report(reported target.Load, heard instant, tokensPerSecond float64) {
-	l.heard = heard
-	made := heard - reportLag
+// applyReport replaces the reported load and adds the dispatches that the
+// report does not include yet.
+func (l *loadEstimate) applyReport(reported target.Load, received instant, tokensPerSecond float64) {
+	l.reportReceived = received
+	measuredAt := received - reportLag
 	queued := time.Duration(float64(reported.QueuedPrefillTokens) / tokensPerSecond * float64(time.Second))
-	l.reported = made + queued
-	included := l.own
-	l.others = 0
+	l.reportedBusyUntil = measuredAt + queued
+	ownInReport := l.ownInFlight
+	l.othersInFlight = 0
 	for i := range l.recent {
 		d := &l.recent[i]
-		if d.at <= made {
+		if d.at <= measuredAt {
 			continue
 		}
-		l.reported = max(l.reported, d.at) + d.work
+		l.reportedBusyUntil = max(l.reportedBusyUntil, d.at) + d.prefill
 		if d.own {
-			included--
+			ownInReport--
 		} else {
-			l.others++
+			l.othersInFlight++
 		}
 	}
-	l.others += max(0, reported.Running+reported.Waiting-max(0, included))
+	l.othersInFlight += max(0, reported.Running+reported.Waiting-max(0, ownInReport))
 }
 
-// dispatched adds a request of this VM with the given prefill work.
-func (l *load) dispatched(now instant, work time.Duration) {
-	l.own++
-	l.add(dispatch{now, work, true})
+// addOwn adds a request of this VM with the given prefill time.
+func (l *loadEstimate) addOwn(now instant, prefill time.Duration) {
+	l.ownInFlight++
+	l.add(recentDispatch{now, prefill, true})
 }
 
-// dispatchedElsewhere adds a request of another VM.
-func (l *load) dispatchedElsewhere(now instant, work time.Duration) {
-	l.others++
-	l.add(dispatch{now, work, false})
+// addOther adds a request of another VM with the given prefill time.
+func (l *loadEstimate) addOther(now instant, prefill time.Duration) {
+	l.othersInFlight++
+	l.add(recentDispatch{now, prefill, false})
 }
 
-func (l *load) add(d dispatch) {
+func (l *loadEstimate) add(d recentDispatch) {
 	l.recent[l.next] = d
-	l.next = (l.next + 1) % rememberedDispatches
-	l.reported = max(l.reported, d.at) + d.work
-	l.sent = max(l.sent, d.at) + d.work
+	l.next = (l.next + 1) % maxRecentDispatches
+	l.reportedBusyUntil = max(l.reportedBusyUntil, d.at) + d.prefill
+	l.sentBusyUntil = max(l.sentBusyUntil, d.at) + d.prefill
 }
 
-// finished removes a request of this VM.
-func (l *load) finished() { l.own = max(0, l.own-1) }
+// finishOwn removes a request of this VM.
+func (l *loadEstimate) finishOwn() { l.ownInFlight = max(0, l.ownInFlight-1) }
 
-// wait returns how long a new request waits until its prefill begins. The
-// prefill queue and the wait for a batch slot pass at the same time.
-func (l *load) wait(now instant, hold time.Duration) time.Duration {
-	wait := max(0, l.reported-now, l.sent-now)
-	if now-l.heard > reportLife {
-		l.others = 0
+// expectedWait returns how long a new request waits until its prefill begins.
+// It waits in the prefill queue and for a batch slot at the same time, so the
+// longer wait counts.
+func (l *loadEstimate) expectedWait(now instant, holdTime time.Duration) time.Duration {
+	wait := max(0, l.reportedBusyUntil-now, l.sentBusyUntil-now)
+	if now-l.reportReceived > reportTTL {
+		l.othersInFlight = 0
 	}
-	if l.slots > 0 {
-		if over := l.own + l.others - l.slots + 1; over > 0 {
-			wait = max(wait, hold*time.Duration(over)/time.Duration(l.slots))
+	if l.batchSlots > 0 {
+		if over := l.ownInFlight + l.othersInFlight - l.batchSlots + 1; over > 0 {
+			wait = max(wait, holdTime*time.Duration(over)/time.Duration(l.batchSlots))
 		}
 	}
 	return wait
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -14,8 +14,8 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// bench is a picker with a clock and targets that the test sets.
-type bench struct {
+// fixture is a picker whose clock and targets are controlled by the test.
+type fixture struct {
 	*Picker
 	t        testing.TB
 	now      time.Time
@@ -23,24 +23,24 @@
 	snap     *config.Snapshot
 }
 
-func newBench(t testing.TB) *bench {
-	b := &bench{t: t, now: time.Unix(1000, 0)}
-	clock := func() time.Time { return b.now }
-	b.Picker = &Picker{
+func newFixture(t testing.TB) *fixture {
+	f := &fixture{t: t, now: time.Unix(1000, 0)}
+	clock := func() time.Time { return f.now }
+	f.Picker = &Picker{
 		Registry: target.NewRegistry(), Clock: clock, Rand: rand.New(rand.NewPCG(1, 2)),
 		Index: prefix.NewIndex(clock), Zone: "a", Region: "r",
 	}
-	b.snap = config.NewSnapshot(config.Document{
+	f.snap = config.NewSnapshot(config.Document{
 		Models:     map[string]config.Model{"m": {ServingVersion: "v1"}},
 		Objectives: map[string]config.Objective{"o": {Route: "x", Kind: objectiveFirstToken, ThresholdMS: 1000}},
 		Zones:      map[string]config.Zone{"a": {Region: "r", VMSlots: 2}},
 	}, 1)
-	return b
+	return f
 }
 
-func (b *bench) announce(a target.Announcement) {
-	b.sequence++
-	a.Sequence, a.Kind, a.Model = b.sequence, target.KindEngine, "m"
+func (f *fixture) announce(a target.Announcement) {
+	f.sequence++
+	a.Sequence, a.Kind, a.Model = f.sequence, target.KindEngine, "m"
 	if a.Incarnation == 0 {
 		a.Incarnation = 1
 	}
@@ -50,18 +50,18 @@
 	if a.Region == "" {
 		a.Zone, a.Region = "a", "r"
 	}
-	b.Registry.Announce(a, b.now)
-	b.view = nil
+	f.Registry.Announce(a, f.now)
+	f.view = nil
 }
 
-func (b *bench) engines(n int) {
+func (f *fixture) announceEngines(n int) {
 	for i := range n {
-		b.announce(target.Announcement{ID: fmt.Sprint("e", i), BatchSlots: 64})
+		f.announce(target.Announcement{ID: fmt.Sprint("e", i), BatchSlots: 64})
 	}
 }
 
-func (b *bench) request(workspace string) serving.PickRequest {
-	call := &serving.Call{Workspace: workspace, Model: "m", Version: "v1", RouteName: "x", Snapshot: b.snap, Body: make([]byte, 4<<20)}
+func (f *fixture) request(workspace string) serving.PickRequest {
+	call := &serving.Call{Workspace: workspace, Model: "m", Version: "v1", RouteName: "x", Snapshot: f.snap, Body: make([]byte, 4<<20)}
 	call.Route.FirstTokenTimeoutMS = 10000
 	return serving.PickRequest{Call: call}
 }
@@ -75,177 +75,180 @@
 	return chain
 }
 
-func (b *bench) pick(req serving.PickRequest, chain []prefix.Hash) (*serving.Pick, *serving.Refusal) {
+func (f *fixture) pick(req serving.PickRequest, chain []prefix.Hash) (*serving.Pick, *serving.Refusal) {
 	req.Call.PromptTokens = len(chain)*config.DefaultBlockTokens + 10
-	return b.PickChain(context.Background(), req, serving.PrefixHint{Blocks: chain})
+	return f.PickChain(context.Background(), req, serving.PrefixHint{Blocks: chain})
 }
 
-func (b *bench) mustPick(chain []prefix.Hash) *serving.Pick {
-	b.t.Helper()
-	pick, refusal := b.pick(b.request("w"), chain)
+func (f *fixture) mustPick(chain []prefix.Hash) *serving.Pick {
+	f.t.Helper()
+	pick, refusal := f.pick(f.request("w"), chain)
 	if refusal != nil {
-		b.t.Fatal(refusal)
+		f.t.Fatal(refusal)
 	}
 	return pick
 }
 
 // Guards against recomputing a prefix that a target holds, and against
-// computing a cold prefix twice when requests come at once.
+// computing a cold prefix more than once for simultaneous requests.
 func TestFollowsPrefix(t *testing.T) {
-	b := newBench(t)
-	b.engines(8)
+	f := newFixture(t)
+	f.announceEngines(8)
 	chain := chainOf(1, 20)
-	first := b.mustPick(chain)
+	first := f.mustPick(chain)
 	for range 5 {
-		if next := b.mustPick(chain); next.Target.ID != first.Target.ID || next.ExpectedCachedTokens != 20000 {
-			t.Errorf("request went to %s with %d cached tokens, want %s", next.Target.ID, next.ExpectedCachedTokens, first.Target.ID)
+		if next := f.mustPick(chain); next.Target.ID != first.Target.ID || next.ExpectedCachedTokens != 20000 {
+			t.Errorf("request was sent to %s with %d expected cached tokens, want %s with 20000", next.Target.ID, next.ExpectedCachedTokens, first.Target.ID)
 		}
 	}
 }
 
-// Guards against one overloaded holder of a hot prefix: the load that one
-// engine cannot carry has to reach more engines, also right after a shift.
+// Guards against a hot prefix overloading its only holder: requests that exceed
+// the capacity of one engine must reach further engines, also right after
+// another prefix becomes hot.
 func TestReplicatesHotPrefix(t *testing.T) {
-	b := newBench(t)
-	b.engines(8)
+	f := newFixture(t)
+	f.announceEngines(8)
 	for shift := range uint64(3) {
 		used := map[string]int{}
 		for range 40 * 8 {
-			used[b.mustPick(chainOf(shift, 4)).Target.ID]++
-			b.now = b.now.Add(time.Millisecond)
+			used[f.mustPick(chainOf(shift, 4)).Target.ID]++
+			f.now = f.now.Add(time.Millisecond)
 		}
 		if len(used) < 4 {
-			t.Errorf("hot prefix %d is on %d engines: %v", shift, len(used), used)
+			t.Errorf("requests for hot prefix %d were sent to %d engines, want at least 4: %v", shift, len(used), used)
 		}
-		b.now = b.now.Add(time.Second)
-		b.engines(8)
+		f.now = f.now.Add(time.Second)
+		f.announceEngines(8)
 	}
 }
 
-// Guards against use of a leaving, dead or failed target, and against a
+// Guards against choosing a leaving, expired or excluded target, and against a
 // refusal that is not marked not-run.
 func TestRefusesWithoutTarget(t *testing.T) {
-	b := newBench(t)
-	b.engines(2)
+	f := newFixture(t)
+	f.announceEngines(2)
 	chain := chainOf(1, 2)
-	first := b.mustPick(chain)
-	req := b.request("w")
+	first := f.mustPick(chain)
+	req := f.request("w")
 	req.Exclude = []target.Ref{first.Target.Ref()}
-	second, _ := b.pick(req, chain)
+	second, _ := f.pick(req, chain)
 	if second.Target.ID == first.Target.ID {
-		t.Error("excluded target was chosen")
+		t.Error("picked the excluded target")
 	}
-	b.announce(target.Announcement{ID: second.Target.ID, Leaving: true})
-	if _, refusal := b.pick(req, chain); refusal == nil || refusal.Run != serving.NotRun {
-		t.Errorf("refusal is %v, want not-run", refusal)
+	f.announce(target.Announcement{ID: second.Target.ID, Leaving: true})
+	if _, refusal := f.pick(req, chain); refusal == nil || refusal.Run != serving.NotRun {
+		t.Errorf("refusal = %v, want one marked not-run", refusal)
 	}
-	b.now = b.now.Add(target.LiveFor)
-	if pick, _ := b.pick(b.request("w"), chain); pick != nil {
-		t.Errorf("silent target %s was chosen", pick.Target.ID)
+	f.now = f.now.Add(target.LiveFor)
+	if pick, _ := f.pick(f.request("w"), chain); pick != nil {
+		t.Errorf("picked target %s, which has sent no heartbeat within target.LiveFor", pick.Target.ID)
 	}
 }
 
-// Guards against entries of a replaced incarnation or older weights.
+// Guards against using index entries of a replaced incarnation, and against
+// choosing a target with another weights version.
 func TestIgnoresFormerIncarnationAndVersion(t *testing.T) {
-	b := newBench(t)
-	b.engines(1)
+	f := newFixture(t)
+	f.announceEngines(1)
 	chain := chainOf(1, 4)
-	b.mustPick(chain)
-	b.announce(target.Announcement{ID: "e0", Incarnation: 2})
-	if pick := b.mustPick(chain); pick.ExpectedCachedTokens != 0 {
-		t.Errorf("new incarnation is expected to hold %d tokens", pick.ExpectedCachedTokens)
+	f.mustPick(chain)
+	f.announce(target.Announcement{ID: "e0", Incarnation: 2})
+	if pick := f.mustPick(chain); pick.ExpectedCachedTokens != 0 {
+		t.Errorf("new incarnation is expected to hold %d cached tokens, want 0", pick.ExpectedCachedTokens)
 	}
-	b.announce(target.Announcement{ID: "e0", Incarnation: 2, Version: "v0"})
-	if pick, _ := b.pick(b.request("w"), chain); pick != nil {
-		t.Error("target with other weights was chosen")
+	f.announce(target.Announcement{ID: "e0", Incarnation: 2, Version: "v0"})
+	if pick, _ := f.pick(f.request("w"), chain); pick != nil {
+		t.Error("picked a target with another weights version")
 	}
 }
 
-// Guards against all VMs choosing the same target on a stale report: with
-// equal loads the choices spread.
+// Guards against all VMs choosing the same target based on the same stale
+// report: with equal loads the choices must spread.
 func TestSpreadsOnStaleReports(t *testing.T) {
 	used := map[string]int{}
 	for vm := range uint64(60) {
-		b := newBench(t)
-		b.Rand = rand.New(rand.NewPCG(vm, 0))
-		b.engines(6)
-		used[b.mustPick(nil).Target.ID]++
+		f := newFixture(t)
+		f.Rand = rand.New(rand.NewPCG(vm, 0))
+		f.announceEngines(6)
+		used[f.mustPick(nil).Target.ID]++
 	}
 	if len(used) < 6 || slices.Max([]int{used["e0"], used["e1"], used["e2"]}) > 30 {
-		t.Errorf("choices of 60 VMs are %v", used)
+		t.Errorf("choices of 60 VMs are not spread over the 6 engines: %v", used)
 	}
 }
 
-// Guards against crossing the region while the home region meets the
-// objective, and against overuse of the link.
+// Guards against leaving the home region while it meets the objective, and
+// against exceeding the bandwidth of the region link.
 func TestCrossesRegionOnlyWhenNeeded(t *testing.T) {
-	b := newBench(t)
-	b.engines(1)
-	b.announce(target.Announcement{ID: "far", Zone: "c", Region: "s", BatchSlots: 64})
-	if pick := b.mustPick(nil); pick.Target.ID != "e0" {
-		t.Error("left the home region without need")
+	f := newFixture(t)
+	f.announceEngines(1)
+	f.announce(target.Announcement{ID: "far", Zone: "c", Region: "s", BatchSlots: 64})
+	if pick := f.mustPick(nil); pick.Target.ID != "e0" {
+		t.Error("picked a target in another region while the home region was idle")
 	}
-	b.announce(target.Announcement{ID: "e0", BatchSlots: 64, Load: target.Load{QueuedPrefillTokens: 400000}})
-	if pick := b.mustPick(nil); pick.Target.ID != "far" {
-		t.Error("stayed in the home region at 20 s of queue")
+	f.announce(target.Announcement{ID: "e0", BatchSlots: 64, Load: target.Load{QueuedPrefillTokens: 400000}})
+	if pick := f.mustPick(nil); pick.Target.ID != "far" {
+		t.Error("picked a target in the home region, whose queue takes 20 s")
 	}
-	if pick := b.mustPick(nil); pick.Target.ID != "e0" {
-		t.Error("overdrew the budget of the region link")
+	if pick := f.mustPick(nil); pick.Target.ID != "e0" {
+		t.Error("picked a target in another region although the bandwidth of the region link was used up")
 	}
 }
 
-// Guards against herding on reports that are a second old: what other VMs
-// send counts at once, and a later report takes over.
-func TestCountsDispatchesOfOthers(t *testing.T) {
-	b := newBench(t)
-	b.engines(2)
-	first := b.mustPick(nil).Target
-	b.Elsewhere(first.Ref(), time.Second)
+// Guards against herding on load reports that are one second old: requests
+// dispatched by other VMs must count immediately, and a later report must
+// replace them.
+func TestCountsDispatchesOfOtherVMs(t *testing.T) {
+	f := newFixture(t)
+	f.announceEngines(2)
+	first := f.mustPick(nil).Target
+	f.Elsewhere(first.Ref(), time.Second)
 	for range 10 {
-		if pick := b.mustPick(nil); pick.Target.ID == first.ID {
-			t.Fatal("chose the target that another VM loaded")
+		if pick := f.mustPick(nil); pick.Target.ID == first.ID {
+			t.Fatal("picked the target to which another VM had dispatched a request")
 		}
 	}
-	b.Elsewhere(target.Ref{ID: "e0", Incarnation: 9}, time.Second)
-	b.now = b.now.Add(2 * time.Second)
-	b.engines(2)
+	f.Elsewhere(target.Ref{ID: "e0", Incarnation: 9}, time.Second)
+	f.now = f.now.Add(2 * time.Second)
+	f.announceEngines(2)
 	used := map[string]bool{}
 	for range 40 {
-		used[b.mustPick(nil).Target.ID] = true
+		used[f.mustPick(nil).Target.ID] = true
 	}
 	if len(used) != 2 {
-		t.Errorf("only %v is used after the report", used)
+		t.Errorf("picked only %v after the new load report, want both targets", used)
 	}
 }
 
-// Guards against a report that counts for good after reports stopped coming,
-// and against ignoring reports that another VM passed on.
+// Guards against a load report that never expires after reports stop arriving,
+// and against ignoring reports forwarded by another VM.
 func TestReportsOfOtherZones(t *testing.T) {
-	b := newBench(t)
-	b.engines(2)
-	b.mustPick(nil)
+	f := newFixture(t)
+	f.announceEngines(2)
+	f.mustPick(nil)
 	busy := target.Ref{ID: "e0", Incarnation: 1}
-	b.Report(busy, target.Load{Running: 64, Waiting: 64}, b.snap)
+	f.Report(busy, target.Load{Running: 64, Waiting: 64}, f.snap)
 	for range 20 {
-		if pick := b.mustPick(nil); pick.Target.ID == "e0" {
-			t.Fatal("chose the target with full batch slots")
+		if pick := f.mustPick(nil); pick.Target.ID == "e0" {
+			t.Fatal("picked the target whose batch slots are full")
 		}
 	}
-	summary := b.Registry.Summarize("a", b.now)
-	b.now = b.now.Add(reportLife + time.Millisecond)
-	b.Registry.ApplySummary("a", summary, b.now)
+	summary := f.Registry.Summarize("a", f.now)
+	f.now = f.now.Add(reportTTL + time.Millisecond)
+	f.Registry.ApplySummary("a", summary, f.now)
 	used := map[string]bool{}
 	for range 40 {
-		used[b.mustPick(nil).Target.ID] = true
+		used[f.mustPick(nil).Target.ID] = true
 	}
 	if !used["e0"] {
-		t.Error("an old report still counts")
+		t.Error("did not pick e0 after its load report expired")
 	}
 }
 
-// Guards against imports that take longer than the prefill or come from
-// another region, and against a store that nothing fills.
-func TestImportsWhereItPays(t *testing.T) {
+// Guards against imports that take longer than the prefill or cross regions,
+// and against a KV store that is never filled.
+func TestImportsOnlyIfFasterThanPrefill(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		bytesPerToken int
@@ -253,103 +256,106 @@
 		imports       bool
 	}{{"fast", 16 << 10, "r", true}, {"slow", 128 << 10, "r", false}, {"far", 16 << 10, "s", false}} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t)
-			b.snap = config.NewSnapshot(config.Document{Models: map[string]config.Model{"m": {ServingVersion: "v1", KVBytesPerToken: test.bytesPerToken}}}, 1)
-			b.announce(target.Announcement{ID: "e0", BatchSlots: 64, Capabilities: target.Capabilities{KV: true}})
+			f := newFixture(t)
+			f.snap = config.NewSnapshot(config.Document{Models: map[string]config.Model{"m": {ServingVersion: "v1", KVBytesPerToken: test.bytesPerToken}}}, 1)
+			f.announce(target.Announcement{ID: "e0", BatchSlots: 64, Capabilities: target.Capabilities{KV: true}})
 			store := target.Announcement{ID: "kv", Incarnation: 1, Sequence: 1, Kind: target.KindKVStore, Zone: "a", Region: test.region, URL: "http://store"}
-			b.Registry.Announce(store, b.now)
+			f.Registry.Announce(store, f.now)
 			chain := chainOf(1, 10)
-			b.Index.Predict(target.Ref{ID: "kv", Incarnation: 1}, chain[:8], 0)
+			f.Index.Predict(target.Ref{ID: "kv", Incarnation: 1}, chain[:8], 0)
 			var exported []prefix.Hash
-			b.Export = func(e Export) { exported = e.Blocks }
+			f.Export = func(e Export) { exported = e.Blocks }
 			defer func() {
-				if b.mustPick(chain); (len(exported) == len(chain)) != test.imports {
-					t.Errorf("exported %d blocks of a reused chain", len(exported))
+				if f.mustPick(chain); (len(exported) == len(chain)) != test.imports {
+					t.Errorf("exported %d blocks of a reused chain; want all 10 exactly if importing is faster than the prefill", len(exported))
 				}
 				exported = nil
-				if b.mustPick(chain); exported != nil {
-					t.Error("exported again at once")
+				if f.mustPick(chain); exported != nil {
+					t.Error("exported the chain again within the cooldown")
 				}
 			}()
-			if pick := b.mustPick(chain); (pick.Prefix.KVSource == "http://store") != test.imports {
-				t.Errorf("import from %q, want %v", pick.Prefix.KVSource, test.imports)
+			if pick := f.mustPick(chain); (pick.Prefix.KVSource == "http://store") != test.imports {
+				t.Errorf("import source is %q, want import: %v", pick.Prefix.KVSource, test.imports)
 			}
 		})
 	}
 }
 
-type health map[string]time.Duration
+type fakeHealth map[string]time.Duration
 
-func (h health) Usable(ref target.Ref) bool           { return h[ref.ID] >= 0 }
-func (h health) Penalty(ref target.Ref) time.Duration { return h[ref.ID] }
+func (h fakeHealth) Usable(ref target.Ref) bool           { return h[ref.ID] >= 0 }
+func (h fakeHealth) Penalty(ref target.Ref) time.Duration { return h[ref.ID] }
 
-// Guards against a circuit breaker that has no effect.
+// Guards against ignoring circuit breakers and latency penalties.
 func TestHealth(t *testing.T) {
-	b := newBench(t)
-	b.Health = health{"e0": time.Minute, "e1": -1}
-	b.engines(3)
+	f := newFixture(t)
+	f.Health = fakeHealth{"e0": time.Minute, "e1": -1}
+	f.announceEngines(3)
 	for range 20 {
-		if pick := b.mustPick(nil); pick.Target.ID != "e2" {
-			t.Fatalf("chose %s", pick.Target.ID)
+		if pick := f.mustPick(nil); pick.Target.ID != "e2" {
+			t.Fatalf("picked %s, want e2", pick.Target.ID)
 		}
 	}
 }
 
-type owner struct{ holdings []prefix.Holding }
+type fakeOwner struct{ holdings []prefix.Holding }
 
-func (o owner) Lookup(context.Context, []prefix.Hash) ([]prefix.Holding, bool) {
+func (o fakeOwner) Lookup(context.Context, []prefix.Hash) ([]prefix.Holding, bool) {
 	return o.holdings, o.holdings != nil
 }
 
-// Guards against ignoring the owner of a chain, and against depending on it.
-func TestAsksOwner(t *testing.T) {
-	b := newBench(t)
-	b.engines(4)
+// Guards against ignoring the owner's answer, and against failing when the
+// owner does not answer.
+func TestUsesOwnerAnswer(t *testing.T) {
+	f := newFixture(t)
+	f.announceEngines(4)
 	chain := chainOf(1, 10)
-	b.Remote = owner{[]prefix.Holding{{Ref: target.Ref{ID: "e3", Incarnation: 1}, Blocks: 10}}}
-	if pick := b.mustPick(chain); pick.Target.ID != "e3" || pick.ExpectedCachedTokens != 10000 {
-		t.Errorf("chose %s, want e3", pick.Target.ID)
+	f.Remote = fakeOwner{[]prefix.Holding{{Ref: target.Ref{ID: "e3", Incarnation: 1}, Blocks: 10}}}
+	if pick := f.mustPick(chain); pick.Target.ID != "e3" || pick.ExpectedCachedTokens != 10000 {
+		t.Errorf("picked %s, want e3 with 10000 expected cached tokens", pick.Target.ID)
 	}
-	b.Remote = owner{}
-	if pick := b.mustPick(chain); pick.Target.ID != "e3" {
-		t.Error("own knowledge is not used when the owner is gone")
+	f.Remote = fakeOwner{}
+	if pick := f.mustPick(chain); pick.Target.ID != "e3" {
+		t.Error("did not use this VM's own index when the owner did not answer")
 	}
 }
 
-// Guards against a chain that is sought at a target that failed to compute it.
-func TestTakesFailedDispatchBack(t *testing.T) {
-	b := newBench(t)
-	b.engines(2)
-	var told []Dispatch
-	b.Dispatched = func(d Dispatch) { told = append(told, d) }
+// Guards against expecting a chain at a target whose attempt to compute it
+// failed.
+func TestRetractsFailedDispatch(t *testing.T) {
+	f := newFixture(t)
+	f.announceEngines(2)
+	var dispatched []Dispatch
+	f.Dispatched = func(d Dispatch) { dispatched = append(dispatched, d) }
 	chain := chainOf(1, 10)
-	pick := b.mustPick(chain)
+	pick := f.mustPick(chain)
 	pick.Done(serving.AttemptResult{Err: context.DeadlineExceeded})
-	if got := b.Index.Longest(chain); got != 0 {
-		t.Errorf("%d blocks are expected after the failure", got)
+	if got := f.Index.Longest(chain); got != 0 {
+		t.Errorf("index still holds %d blocks after the failed dispatch, want 0", got)
 	}
-	if len(told) != 2 || told[0].Failed || !told[1].Failed || told[1].Ref != pick.Target.Ref() {
-		t.Errorf("other VMs were told %v", told)
+	if len(dispatched) != 2 || dispatched[0].Failed || !dispatched[1].Failed || dispatched[1].Ref != pick.Target.Ref() {
+		t.Errorf("dispatches reported to other VMs = %v, want one dispatch and its failure", dispatched)
 	}
 }
 
-// Guards against stale entries that outlive what the engine says.
-func TestLearnsFromEngine(t *testing.T) {
-	b := newBench(t)
-	b.engines(1)
+// Guards against keeping predictions that the engine's reported cached tokens
+// contradict.
+func TestCorrectsPredictionFromCachedTokens(t *testing.T) {
+	f := newFixture(t)
+	f.announceEngines(1)
 	chain := chainOf(1, 10)
-	b.mustPick(chain)
-	b.mustPick(chain).Done(serving.AttemptResult{CachedTokens: 4000})
-	if pick := b.mustPick(chain); pick.ExpectedCachedTokens != 4000 {
-		t.Errorf("expects %d tokens, want 4000", pick.ExpectedCachedTokens)
+	f.mustPick(chain)
+	f.mustPick(chain).Done(serving.AttemptResult{CachedTokens: 4000})
+	if pick := f.mustPick(chain); pick.ExpectedCachedTokens != 4000 {
+		t.Errorf("expected cached tokens = %d, want 4000", pick.ExpectedCachedTokens)
 	}
 }
 
 func BenchmarkPick(b *testing.B) {
 	for _, targets := range []int{60, 600} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			f := newBench(b)
-			f.engines(targets)
+			f := newFixture(b)
+			f.announceEngines(targets)
 			for i := range targets {
 				f.Index.Predict(target.Ref{ID: fmt.Sprint("e", i), Incarnation: 1}, chainOf(uint64(i%7), 1+i%100), 0)
 			}
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -9,55 +9,55 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// viewAge bounds how old the list of candidates may be. A choice is checked
-// against the registry again, so that a view never revives a dead target.
-const viewAge = 20 * time.Millisecond
+// maxViewAge limits the age of the candidate list. Each choice is checked
+// against the registry again, so a stale view never leads to a dead target.
+const maxViewAge = 20 * time.Millisecond
 
-// Network costs, as round trips.
+// Network round-trip times added to the cost of a candidate.
 const (
-	zoneCost   = time.Millisecond
-	regionCost = 60 * time.Millisecond
+	crossZoneCost   = time.Millisecond
+	crossRegionCost = 60 * time.Millisecond
 )
 
-// candidate is one usable target.
+// candidate is a usable target.
 type candidate struct {
 	target *target.Target
-	load   *load
-	// slot is the place in the index, -1 if it has none.
-	slot int
-	// fixed is the cost that does not depend on the request.
-	fixed time.Duration
+	load   *loadEstimate
+	// indexSlot is the target's slot in the index; -1 if it has none.
+	indexSlot int
+	// fixedCost is the part of the cost that does not depend on the request.
+	fixedCost time.Duration
 }
 
-// groupKey selects the targets that may answer a call.
+// groupKey selects the targets that can serve a call.
 type groupKey struct{ model, version, adapter string }
 
-// group lists the candidates for one key.
-type group struct {
-	home, away []candidate
-	stores     []candidate
-	byID       map[string]int
+// candidateGroup holds the candidates for one key.
+type candidateGroup struct {
+	home, crossRegion []candidate
+	stores            []candidate
+	homeByID          map[string]int
 }
 
-// view is the state of the registry at one moment.
+// view is a snapshot of the registry.
 type view struct {
-	built  time.Time
-	layout uint64
-	all    []*target.Target
-	groups map[groupKey]*group
+	built         time.Time
+	layoutVersion uint64
+	targets       []*target.Target
+	groups        map[groupKey]*candidateGroup
 }
 
-// refresh rebuilds the view if it is old.
+// refresh rebuilds the view if it is too old or the index layout has changed.
 func (p *Picker) refresh(now time.Time, snap *config.Snapshot) {
-	if p.view != nil && now.Sub(p.view.built) < viewAge && p.view.layout == p.Index.Layout() {
+	if p.view != nil && now.Sub(p.view.built) < maxViewAge && p.view.layoutVersion == p.Index.LayoutVersion() {
 		return
 	}
-	v := &view{built: now, layout: p.Index.Layout(), groups: make(map[groupKey]*group)}
-	v.all = p.Registry.All()
-	for _, t := range v.all {
-		p.loadOf(t).heartbeat(t, t.LastHeard.Sub(p.epoch), tokensPerSecond(snap, t.Model))
+	v := &view{built: now, layoutVersion: p.Index.LayoutVersion(), groups: make(map[groupKey]*candidateGroup)}
+	v.targets = p.Registry.All()
+	for _, t := range v.targets {
+		p.loadFor(t).applyHeartbeat(t, t.LastHeard.Sub(p.epoch), tokensPerSecond(snap, t.Model))
 	}
-	p.forgetGone(v)
+	p.pruneLoads(v)
 	p.view = v
 }
 
@@ -68,23 +68,25 @@
 	return config.DefaultPrefillTokensPerSecond
 }
 
-// loadOf returns the load of the incarnation; a new incarnation starts empty.
-func (p *Picker) loadOf(t *target.Target) *load {
+// loadFor returns the load estimate of the incarnation. A new incarnation
+// starts with an empty one.
+func (p *Picker) loadFor(t *target.Target) *loadEstimate {
 	l, ok := p.loads[t.ID]
 	if !ok || l.ref.Incarnation != t.Incarnation {
-		l = &load{ref: t.Ref()}
+		l = &loadEstimate{ref: t.Ref()}
 		p.loads[t.ID] = l
 	}
 	return l
 }
 
-// forgetGone bounds the loads by the targets in the registry.
-func (p *Picker) forgetGone(v *view) {
-	if len(p.loads) <= len(v.all) {
+// pruneLoads removes the load estimates of targets that are no longer in the
+// registry.
+func (p *Picker) pruneLoads(v *view) {
+	if len(p.loads) <= len(v.targets) {
 		return
 	}
-	known := make(map[string]bool, len(v.all))
-	for _, t := range v.all {
+	known := make(map[string]bool, len(v.targets))
+	for _, t := range v.targets {
 		known[t.ID] = true
 	}
 	for id := range p.loads {
@@ -94,27 +96,28 @@
 	}
 }
 
-// candidates returns the group for key, built on first use in a view.
-func (p *Picker) candidates(key groupKey, now time.Time) *group {
+// groupFor returns the candidate group for key. Groups are built on first use
+// in a view.
+func (p *Picker) groupFor(key groupKey, now time.Time) *candidateGroup {
 	g, ok := p.view.groups[key]
 	if ok {
 		return g
 	}
-	g = &group{byID: make(map[string]int)}
-	for _, t := range p.view.all {
+	g = &candidateGroup{homeByID: make(map[string]int)}
+	for _, t := range p.view.targets {
 		if t.Usable(now) {
-			p.admit(g, key, t)
+			p.addCandidate(g, key, t)
 		}
 	}
 	for i := range g.home {
-		g.byID[g.home[i].target.ID] = i
+		g.homeByID[g.home[i].target.ID] = i
 	}
 	p.view.groups[key] = g
 	return g
 }
 
-func (p *Picker) admit(g *group, key groupKey, t *target.Target) {
-	c := candidate{target: t, load: p.loads[t.ID], slot: p.Index.Slot(t.Ref())}
+func (p *Picker) addCandidate(g *candidateGroup, key groupKey, t *target.Target) {
+	c := candidate{target: t, load: p.loads[t.ID], indexSlot: p.Index.Slot(t.Ref())}
 	if t.Kind == target.KindKVStore {
 		if t.Region == p.Region {
 			g.stores = append(g.stores, c)
@@ -125,16 +128,16 @@
 		return
 	}
 	if t.Zone != p.Zone {
-		c.fixed += zoneCost
+		c.fixedCost += crossZoneCost
 	}
 	if p.Health != nil {
-		c.fixed += p.Health.Penalty(t.Ref())
+		c.fixedCost += p.Health.Penalty(t.Ref())
 	}
 	if t.Region == p.Region {
 		g.home = append(g.home, c)
 	} else {
-		c.fixed += regionCost
-		g.away = append(g.away, c)
+		c.fixedCost += crossRegionCost
+		g.crossRegion = append(g.crossRegion, c)
 	}
 }
 
@@ -149,10 +152,11 @@
 	return p.Health == nil || p.Health.Usable(ref)
 }
 
-// matched returns the leading blocks that c holds.
-func matched(m *prefix.Match, c *candidate) int {
-	if c.slot < 0 {
+// matchedBlocks returns how many leading blocks of the chain c holds according
+// to the index.
+func matchedBlocks(m *prefix.Match, c *candidate) int {
+	if c.indexSlot < 0 {
 		return 0
 	}
-	return int(m.Blocks[c.slot])
+	return int(m.Blocks[c.indexSlot])
 }
