--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -11,131 +11,139 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Intervals and bounds of the protocol.
+// Protocol intervals and limits.
 const (
-	// TickInterval is how often Tick must be called. News moves one hop per
-	// tick; 100 ms lets it cross a zone of 44 VMs in about 0.4 s.
+	// TickInterval is how often Tick must be called. An update moves one hop
+	// per tick, so at 100 ms it reaches all 44 VMs of a zone in about 0.4 s.
 	TickInterval = 100 * time.Millisecond
-	// probeInterval is the time between two direct probes of one VM.
+	// probeInterval is the time between two direct probes sent by one VM.
 	probeInterval = time.Second
-	// probeTimeout is the wait for a direct answer before helpers are asked.
+	// probeTimeout is how long a VM waits for the ack of a direct probe before
+	// it requests indirect probes.
 	probeTimeout = 300 * time.Millisecond
-	// indirectProbes is the number of helpers.
+	// indirectProbes is the number of peers asked to probe an unresponsive VM.
 	indirectProbes = 3
-	// suspicionTimeout is the time a suspect has to refute. It is several
-	// times what the suspicion and the refutation need to cross a zone.
+	// suspicionTimeout is how long a suspect has to refute the suspicion before
+	// it is declared dead. It is several times the time that the suspicion and
+	// the refutation need to cross a zone.
 	suspicionTimeout = 3 * time.Second
-	// fanout is the number of zone peers that get each piece of news per tick.
+	// fanout is the number of zone peers that each update is sent to per tick.
 	fanout = 3
-	// delegatesPerZone is the number of VMs that talk to other zones.
+	// delegatesPerZone is the number of VMs per zone that exchange messages
+	// with other zones.
 	delegatesPerZone = 2
-	// digestInterval is the time between two digests of one delegate. Targets
-	// are unusable 3 s after their last heartbeat, so digests must be frequent.
+	// digestInterval is the time between two digests of one delegate. Digests
+	// must be frequent because a target becomes unusable 3 s after its last
+	// heartbeat.
 	digestInterval = 500 * time.Millisecond
-	// zoneTimeout is the silence after which a zone counts as cut off.
+	// zoneTimeout is how long a zone may send no digest before it counts as
+	// unreachable.
 	zoneTimeout = 5 * time.Second
-	// reviveInterval is the time between two probes of members that are
-	// thought dead, so that a cut heals by itself.
-	reviveInterval = 5 * time.Second
-	// joinInterval is the time between two tries to join while alone.
+	// reconnectInterval is the time between two probes of dead members. These
+	// probes heal a network partition without operator action.
+	reconnectInterval = 5 * time.Second
+	// joinInterval is the time between two join attempts while this VM knows
+	// no other member or has just started.
 	joinInterval = 500 * time.Millisecond
-	// joinPeriod is how long after its start a VM keeps asking join addresses
-	// that no live member has.
+	// joinPeriod is how long after its start a VM keeps contacting the join
+	// addresses that belong to no live member.
 	joinPeriod = 10 * time.Second
-	// maxJoinRequests bounds the join addresses asked at once.
+	// maxJoinRequests is the maximum number of join addresses contacted at once.
 	maxJoinRequests = 3
-	// syncInterval is the least time between two requests for state to one
+	// syncInterval is the minimum time between two sync requests to one
 	// address.
 	syncInterval = 2 * time.Second
-	// mismatchGrace is how long a difference of state may be news in flight.
+	// mismatchGrace is how long the local state may differ from a digest before
+	// a sync is requested. A shorter difference may be due to updates in flight.
 	mismatchGrace = time.Second
-	// forgetDeadAfter and forgetLeftAfter bound how long former members are
-	// kept. The dead are kept long, because they may be cut off.
-	forgetDeadAfter = 24 * time.Hour
-	forgetLeftAfter = 10 * time.Minute
-	// hopAllowance is added to ages at each hop for the time on the way. It
-	// covers the 30 ms between regions.
+	// deadRetention and leftRetention are how long former members are kept.
+	// Dead members are kept longer because they may only be partitioned away.
+	deadRetention = 24 * time.Hour
+	leftRetention = 10 * time.Minute
+	// hopAllowance is added to the age of a heartbeat at each hop to account
+	// for the transit time. It covers the 30 ms latency between regions.
 	hopAllowance = 40 * time.Millisecond
 )
 
 // Config configures a Core.
 type Config struct {
-	// Self describes this VM.
+	// Self is the description of this VM.
 	Self Member
 	// Join lists gossip addresses of VMs to join.
 	Join []string
-	// Registry holds the targets that are spread.
+	// Registry holds the targets whose announcements are gossiped.
 	Registry *target.Registry
-	// Rand chooses peers.
+	// Rand is the random source for choosing peers.
 	Rand *rand.Rand
 }
 
-// Core is the membership protocol of one VM: messages and ticks in, packets
-// out. It is not safe for concurrent use.
+// Core implements the membership protocol of one VM. It takes messages and
+// ticks and returns the packets to send. It is not safe for concurrent use.
 type Core struct {
 	self     Member
 	join     []string
 	registry *target.Registry
 	rand     *rand.Rand
 
-	members map[string]*entry
-	zones   map[string]*zoneState
-	news    map[string]*newsItem
-	out     []Packet
-	// views caches what follows from members, per zone.
+	members    map[string]*entry
+	zones      map[string]*zoneState
+	broadcasts map[string]*broadcast
+	outbox     []Packet
+	// views caches data derived from members, by zone.
 	views map[string]*zoneView
-	// quiet is true while the state of another VM is merged. Such news is old
-	// and mostly known, and VMs that lack it find out by digests.
-	quiet bool
+	// mergingSync is true while a sync message of another VM is merged. Its
+	// content is old and mostly known, so what concerns other zones is not
+	// queued for zone peers; VMs that lack it detect that from digests.
+	mergingSync bool
 
-	sequence uint64
-	ring     []string
-	probe    probeState
-	relays   map[uint64]relay
+	sequence   uint64
+	probeOrder []string
+	probe      probeState
+	relays     map[uint64]relay
 
-	digestNumber uint64
-	nextProbe    time.Time
-	nextDigest   time.Time
-	nextRevive   time.Time
-	nextJoin     time.Time
-	started      time.Time
-	// nextSync holds the earliest time of the next request per address.
+	digestNumber  uint64
+	nextProbe     time.Time
+	nextDigest    time.Time
+	nextReconnect time.Time
+	nextJoin      time.Time
+	started       time.Time
+	// nextSync holds the earliest time of the next sync request, by address.
 	nextSync map[string]time.Time
 }
 
-// entry is a member with what the observer adds.
+// entry is a member with the state that this VM keeps about it.
 type entry struct {
 	Member
-	// since is when the status was taken.
-	since time.Time
+	// statusSince is when the member got its current status.
+	statusSince time.Time
 }
 
 func (e *entry) live() bool { return e.Status == Alive || e.Status == Suspect }
 
-// New returns a core that starts to work with its first tick.
+// New returns a core that becomes active with its first tick.
 func New(c Config, now time.Time) *Core {
 	core := &Core{
-		self:     c.Self,
-		join:     c.Join,
-		registry: c.Registry,
-		rand:     c.Rand,
-		members:  make(map[string]*entry),
-		zones:    make(map[string]*zoneState),
-		news:     make(map[string]*newsItem),
-		relays:   make(map[uint64]relay),
-		started:  now,
-		nextSync: make(map[string]time.Time),
-		views:    make(map[string]*zoneView),
+		self:       c.Self,
+		join:       c.Join,
+		registry:   c.Registry,
+		rand:       c.Rand,
+		members:    make(map[string]*entry),
+		zones:      make(map[string]*zoneState),
+		broadcasts: make(map[string]*broadcast),
+		relays:     make(map[uint64]relay),
+		started:    now,
+		nextSync:   make(map[string]time.Time),
+		views:      make(map[string]*zoneView),
 	}
 	core.self.Status = Alive
 	core.self.Version = 1
-	core.members[c.Self.VM] = &entry{Member: core.self, since: now}
-	// A random phase keeps VMs that start together from probing together.
+	core.members[c.Self.VM] = &entry{Member: core.self, statusSince: now}
+	// A random phase prevents VMs that start together from probing in lockstep.
 	phase := time.Duration(c.Rand.Int64N(int64(digestInterval)))
 	core.nextProbe = now.Add(phase)
 	core.nextDigest = now.Add(phase)
-	core.nextRevive = now.Add(reviveInterval)
-	core.spreadMember(core.self, false)
+	core.nextReconnect = now.Add(reconnectInterval)
+	core.queueMember(core.self, false)
 	return core
 }
 
@@ -144,13 +152,13 @@
 	c.expire(now)
 	c.tickJoin(now)
 	c.tickProbe(now)
-	c.tickRevive(now)
+	c.tickReconnect(now)
 	c.tickZones(now)
 	for _, d := range c.registry.TakeOwnDrains() {
-		c.spreadDrain(d, true)
+		c.queueDrain(d, true)
 	}
-	c.tickNews(now)
-	return c.take()
+	c.tickBroadcasts(now)
+	return c.takePackets()
 }
 
 // Receive handles one message and returns the packets to send.
@@ -158,45 +166,47 @@
 	if m.From == c.self.VM && m.Incarnation == c.self.Incarnation {
 		return nil
 	}
-	c.quiet = m.Kind == KindSync
+	c.mergingSync = m.Kind == KindSync
 	c.merge(now, from, &m)
-	c.quiet = false
-	if c.accusedBy(&m) {
+	c.mergingSync = false
+	if c.reportedFailedBy(&m) {
 		c.send(from, Message{Kind: KindGossip, Updates: []Update{{Member: c.self, Brief: true}}})
 	}
 	switch m.Kind {
 	case KindProbe:
-		c.send(from, c.answer(now, &m))
-		c.learnZones(now, from, m.Zones)
+		c.send(from, c.ackFor(now, &m))
+		c.discoverZones(now, from, m.Zones)
 	case KindAck:
-		c.acknowledged(m.Sequence)
+		c.handleAck(m.Sequence)
 	case KindProbeRequest:
-		c.probeFor(now, from, &m)
+		c.relayProbe(now, from, &m)
 	case KindSyncRequest:
 		c.sendState(now, from, m.Zones)
 		if m.PullBack {
 			c.send(from, Message{Kind: KindSyncRequest, Zones: m.Zones})
 		}
 	}
-	c.checkSender(now, from, &m)
-	return c.take()
+	c.verifySender(now, from, &m)
+	return c.takePackets()
 }
 
-// Leave marks this VM as left. Later ticks spread it; it takes back nothing.
+// Leave marks this VM as left and notifies other VMs. Later ticks repeat the
+// notification. Leaving cannot be undone.
 func (c *Core) Leave(now time.Time) []Packet {
 	c.self.Status = Left
 	c.self.Version++
 	c.storeSelf(now)
 	left := Update{Member: c.self}
-	tell := func(e *entry) { c.send(e.GossipAddress, Message{Kind: KindGossip, Updates: []Update{left}}) }
+	notify := func(e *entry) { c.send(e.GossipAddress, Message{Kind: KindGossip, Updates: []Update{left}}) }
 	for _, e := range c.zonePeers() {
-		tell(e)
+		notify(e)
 	}
-	c.toOtherZones(tell)
-	return c.take()
+	c.forEachRemoteDelegate(notify)
+	return c.takePackets()
 }
 
-// UpdateSelf takes over a changed configuration revision or key digest.
+// UpdateSelf sets the configuration revision and key digest of this VM and
+// queues the change for the other VMs.
 func (c *Core) UpdateSelf(now time.Time, revision, keyDigest uint64) {
 	if c.self.ConfigRevision == revision && c.self.KeyDigest == keyDigest {
 		return
@@ -207,16 +217,16 @@
 	c.storeSelf(now)
 }
 
-// Announce spreads a heartbeat that this VM got from the target itself and
-// that changed the registry in the given way.
+// Announce queues a heartbeat that this VM received directly from a target.
+// Change is the result of merging it into the registry.
 func (c *Core) Announce(a target.Announcement, change target.Change, now time.Time) {
-	c.spreadTarget(a, change, now)
+	c.queueTarget(a, change, now)
 }
 
-// Members returns the live members, sorted by name, this VM included unless
-// it left. Members of a zone that is cut off are not live.
+// Members returns the live members, sorted by name. It includes this VM unless
+// this VM has left. Members of unreachable zones do not count as live.
 func (c *Core) Members(now time.Time) []Member {
-	live := c.sorted(func(e *entry) bool { return e.live() && c.reachable(e.Zone, now) })
+	live := c.sortedMembers(func(e *entry) bool { return e.live() && c.reachable(e.Zone, now) })
 	out := make([]Member, len(live))
 	for i, e := range live {
 		out[i] = e.Member
@@ -225,51 +235,51 @@
 }
 
 func (c *Core) storeSelf(now time.Time) {
-	c.members[c.self.VM] = &entry{Member: c.self, since: now}
+	c.members[c.self.VM] = &entry{Member: c.self, statusSince: now}
 	clear(c.views)
-	c.spreadMember(c.self, true)
+	c.queueMember(c.self, true)
 }
 
 func (c *Core) send(to string, m Message) {
 	m.From = c.self.VM
 	m.Incarnation = c.self.Incarnation
 	m.Zone = c.self.Zone
-	c.out = append(c.out, Packet{To: to, Message: m})
+	c.outbox = append(c.outbox, Packet{To: to, Message: m})
 }
 
-func (c *Core) take() []Packet {
-	out := c.out
-	c.out = nil
+func (c *Core) takePackets() []Packet {
+	out := c.outbox
+	c.outbox = nil
 	return out
 }
 
-// inZone returns the live members of a zone, sorted by name. The result must
-// not be changed.
-func (c *Core) inZone(zone string) []*entry {
+// liveInZone returns the live members of a zone, sorted by name. Callers must
+// not modify the result.
+func (c *Core) liveInZone(zone string) []*entry {
 	return c.view(zone).live
 }
 
-// zoneView is what follows from the members of one zone.
+// zoneView holds data derived from the members of one zone.
 type zoneView struct {
 	live []*entry
 	hash uint64
 }
 
-// view returns the cached view of a zone, which must not be changed. Every
+// view returns the cached view of a zone. Callers must not modify it. Every
 // change of a member clears the cache.
 func (c *Core) view(zone string) *zoneView {
 	v, ok := c.views[zone]
 	if !ok {
-		v = &zoneView{live: c.sorted(func(e *entry) bool { return e.Zone == zone && e.live() })}
+		v = &zoneView{live: c.sortedMembers(func(e *entry) bool { return e.Zone == zone && e.live() })}
 		v.hash = hashMembers(v.live)
 		c.views[zone] = v
 	}
 	return v
 }
 
-// sorted returns the members that keep selects, by name. The order keeps runs
-// with the same random source the same.
-func (c *Core) sorted(keep func(*entry) bool) []*entry {
+// sortedMembers returns the members that keep selects, sorted by name. The
+// fixed order makes runs with the same random source reproducible.
+func (c *Core) sortedMembers(keep func(*entry) bool) []*entry {
 	var out []*entry
 	for _, e := range c.members {
 		if keep(e) {
@@ -280,9 +290,9 @@
 	return out
 }
 
-// zonePeers returns the live members of this VM's zone without itself.
+// zonePeers returns the other live members of this VM's zone.
 func (c *Core) zonePeers() []*entry {
-	all := c.inZone(c.self.Zone)
+	all := c.liveInZone(c.self.Zone)
 	peers := make([]*entry, 0, len(all))
 	for _, e := range all {
 		if e.VM != c.self.VM {
@@ -292,9 +302,10 @@
 	return peers
 }
 
-// delegates returns the VMs that talk to other zones for zone.
+// delegates returns the VMs that exchange messages with other zones on behalf
+// of zone.
 func (c *Core) delegates(zone string) []*entry {
-	all := c.inZone(zone)
+	all := c.liveInZone(zone)
 	return all[:min(delegatesPerZone, len(all))]
 }
 
@@ -312,7 +323,7 @@
 	return entries
 }
 
-// hashMembers identifies members and their versions.
+// hashMembers returns a hash over the members and their versions.
 func hashMembers(sorted []*entry) uint64 {
 	h := fnv.New64a()
 	for _, e := range sorted {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,10 +1,11 @@
-// Package membership tracks which VMs are alive. The package does no I/O.
+// Package membership implements a gossip protocol that tracks which VMs are
+// alive and distributes target heartbeats. The package does no I/O.
 package membership
 
-// Status is what a VM believes about a member.
+// Status is a VM's view of the state of a member.
 type Status uint8
 
-// The states of a member.
+// Member states.
 const (
 	Alive Status = iota
 	Suspect
@@ -12,32 +13,34 @@
 	Left
 )
 
-// Member is one VM as known to another.
+// Member is a VM as known to another VM.
 type Member struct {
-	// VM names the member.
+	// VM is the name of the member.
 	VM string
-	// Zone and Region are where it runs.
+	// Zone and Region are the availability zone and region of the member.
 	Zone   string
 	Region string
-	// Slot is its slot in the zone.
+	// Slot is the member's slot in its zone.
 	Slot int
-	// PeerAddress, GossipAddress and AdminAddress are its addresses.
+	// PeerAddress, GossipAddress and AdminAddress are the member's addresses.
 	PeerAddress   string
 	GossipAddress string
 	AdminAddress  string
-	// Voter is true if it is in the first voter set of the control log.
+	// Voter is true if the member belongs to the initial voter set of the
+	// control log.
 	Voter bool
-	// Incarnation is the start time of the VM in microseconds.
+	// Incarnation is the start time of the VM in microseconds since the Unix
+	// epoch. It may be raised to outrank a stale state of the same VM.
 	Incarnation uint64
-	// Version grows, within an incarnation, with every refutation and every
-	// change of the payload. Only the member itself raises it.
+	// Version increases within an incarnation with every refutation and every
+	// payload change. Only the member itself increments it.
 	Version uint64
-	// Status is what the observer believes.
+	// Status is the observer's view of the member.
 	Status Status
-	// ConfigRevision is the configuration that it has in force.
+	// ConfigRevision is the configuration revision in force on the member.
 	ConfigRevision uint64
-	// KeyDigest summarises the withdrawn keys that it knows.
+	// KeyDigest is the digest of the withdrawn keys known to the member.
 	KeyDigest uint64
-	// TargetAddress is where targets announce themselves to it.
+	// TargetAddress is the address to which targets announce themselves.
 	TargetAddress string
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,25 +6,25 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// merge takes over the news in a message.
+// merge applies the updates in a message.
 func (c *Core) merge(now time.Time, from string, m *Message) {
 	for i := range m.Updates {
 		c.mergeUpdate(now, m.Updates[i])
 	}
 	for _, d := range m.Drains {
 		if c.registry.MergeDrain(d) {
-			c.spreadDrain(d, m.Zone == c.self.Zone)
+			c.queueDrain(d, m.Zone == c.self.Zone)
 		}
 	}
 	for _, t := range m.Targets {
-		heard := now.Add(-t.Age - hopAllowance)
-		change := c.registry.Announce(t.Announcement, heard)
-		c.spreadTarget(t.Announcement, change, heard)
+		receivedAt := now.Add(-t.Age - hopAllowance)
+		change := c.registry.Announce(t.Announcement, receivedAt)
+		c.queueTarget(t.Announcement, change, receivedAt)
 	}
 	for _, b := range m.Beats {
-		heard := now.Add(-b.Age - hopAllowance)
-		if c.registry.Beat(b.Beat, heard) {
-			c.spreadBeat(b.Beat, heard)
+		receivedAt := now.Add(-b.Age - hopAllowance)
+		if c.registry.Beat(b.Beat, receivedAt) {
+			c.queueHeartbeat(b.Beat, receivedAt)
 		}
 	}
 	for i := range m.Digests {
@@ -39,8 +39,8 @@
 	}
 	old, known := c.members[u.VM]
 	if !known {
-		// Former members that are unknown here are not taken over: they would
-		// pass round for ever between VMs that forget at different times.
+		// Unknown former members are not added: VMs drop them at different
+		// times and would keep passing them back to each other.
 		if !u.Brief && (u.Status == Alive || u.Status == Suspect) {
 			c.storeMember(now, u.Member, false)
 		}
@@ -55,7 +55,7 @@
 	}
 	former := u.Status == Dead || u.Status == Left
 	if u.Incarnation != old.Incarnation && !former {
-		// A new incarnation may have other addresses; they come by sync.
+		// A new incarnation may have different addresses, which arrive by sync.
 		return
 	}
 	m := old.Member
@@ -65,8 +65,8 @@
 	c.storeMember(now, m, true)
 }
 
-// newer reports whether a replaces b. A higher incarnation always does, and
-// nothing takes back leaving within an incarnation.
+// newer reports whether a supersedes b. A higher incarnation always does.
+// Within an incarnation, Left is final.
 func newer(a, b Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -80,35 +80,37 @@
 	return a.Status > b.Status
 }
 
-// mergeSelf refutes what others wrongly believe about this VM.
+// mergeSelf refutes wrong states that other VMs hold for this VM.
 func (c *Core) mergeSelf(now time.Time, u Update) {
 	if u.Incarnation < c.self.Incarnation || c.self.Status == Left {
 		return
 	}
 	if u.Incarnation > c.self.Incarnation {
-		// The clock went back between two starts; the former self must not
-		// outrank this one.
+		// The clock was set back between two starts. The previous incarnation
+		// must not outrank this one.
 		c.self.Incarnation = u.Incarnation + 1
 		c.self.Version = 1
 		c.storeSelf(now)
-		c.spreadMember(c.self, false)
+		c.queueMember(c.self, false)
 		return
 	}
 	if u.Status != Alive && u.Version >= c.self.Version {
 		c.self.Version = u.Version + 1
 		if u.Status == Left {
-			// Leaving cannot be refuted; this VM has not left.
+			// Left cannot be refuted within an incarnation, and this VM has not
+			// left.
 			c.self.Incarnation++
 		}
 		c.storeSelf(now)
-		c.spreadMember(c.self, u.Status != Left)
+		c.queueMember(c.self, u.Status != Left)
 	}
 }
 
-// accusedBy reports whether the sender believes that this VM failed. The
-// answer to it ends the exchange: without it two VMs that think each other
-// dead would go on telling each other so.
-func (c *Core) accusedBy(m *Message) bool {
+// reportedFailedBy reports whether the sender considers this VM suspect, dead
+// or left. The reply to such a message carries this VM's current state and
+// ends the exchange. Without it, two VMs that each consider the other dead
+// would keep telling each other so.
+func (c *Core) reportedFailedBy(m *Message) bool {
 	for i := range m.Updates {
 		u := &m.Updates[i]
 		if u.VM == c.self.VM && u.Incarnation == c.self.Incarnation && u.Status != Alive {
@@ -119,21 +121,21 @@
 }
 
 func (c *Core) storeMember(now time.Time, m Member, brief bool) {
-	e := &entry{Member: m, since: now}
+	e := &entry{Member: m, statusSince: now}
 	if old, ok := c.members[m.VM]; ok && old.Status == m.Status && old.Incarnation == m.Incarnation {
-		e.since = old.since
+		e.statusSince = old.statusSince
 	}
 	c.members[m.VM] = e
 	clear(c.views)
-	c.spreadMember(m, brief)
+	c.queueMember(m, brief)
 	if m.Status == Alive {
-		c.replaceAtAddress(now, &m)
+		c.markReplacedDead(now, &m)
 	}
 }
 
-// replaceAtAddress ends a member that another, started later, took the
-// address of.
-func (c *Core) replaceAtAddress(now time.Time, m *Member) {
+// markReplacedDead marks live members dead that have the same gossip address
+// as m but an older incarnation: m has taken over their address.
+func (c *Core) markReplacedDead(now time.Time, m *Member) {
 	for _, e := range c.members {
 		if e.VM == m.VM || e.GossipAddress != m.GossipAddress || !e.live() || e.VM == c.self.VM {
 			continue
@@ -146,14 +148,14 @@
 
 func (c *Core) setStatus(now time.Time, e *entry, s Status) {
 	e.Status = s
-	e.since = now
+	e.statusSince = now
 	clear(c.views)
-	c.spreadMember(e.Member, true)
+	c.queueMember(e.Member, true)
 }
 
-// checkSender asks a sender that this VM does not know for its state, and
-// tells a sender that is thought dead, so that it can refute.
-func (c *Core) checkSender(now time.Time, from string, m *Message) {
+// verifySender requests a sync from a sender that this VM does not know, and
+// notifies a sender that this VM considers dead, so that it can refute.
+func (c *Core) verifySender(now time.Time, from string, m *Message) {
 	e, known := c.members[m.From]
 	if !known || e.Incarnation < m.Incarnation {
 		c.requestSync(now, from, nil, false)
@@ -164,8 +166,8 @@
 	}
 }
 
-// answer builds the acknowledgement of a probe.
-func (c *Core) answer(now time.Time, m *Message) Message {
+// ackFor returns the ack of a probe.
+func (c *Core) ackFor(now time.Time, m *Message) Message {
 	ack := Message{Kind: KindAck, Sequence: m.Sequence}
 	e, known := c.members[m.From]
 	if known && e.Status != Alive && e.Incarnation == m.Incarnation {
@@ -177,8 +179,8 @@
 	return ack
 }
 
-// requestSync asks for the state of zones, at most once per syncInterval and
-// address.
+// requestSync requests the state of zones from an address, at most once per
+// syncInterval for each address.
 func (c *Core) requestSync(now time.Time, to string, zones []string, pullBack bool) {
 	if now.Before(c.nextSync[to]) {
 		return
@@ -192,44 +194,45 @@
 	})
 }
 
-// sendState sends everything known about zones, in as many packets as needed.
+// sendState sends the full state of zones, in as many packets as needed.
 func (c *Core) sendState(now time.Time, to string, zones []string) {
-	page := newPage(KindSync)
+	packet := newPacketBuilder(KindSync)
 	flush := func() {
-		if !page.empty() {
-			c.send(to, page.message)
+		if !packet.empty() {
+			c.send(to, packet.message)
 		}
-		page = newPage(KindSync)
+		packet = newPacketBuilder(KindSync)
 	}
 	wanted := zoneSet(zones)
-	for _, e := range c.sorted(func(e *entry) bool { return wanted.has(e.Zone) }) {
-		// Former members matter only to VMs that still hold them for live.
+	for _, e := range c.sortedMembers(func(e *entry) bool { return wanted.contains(e.Zone) }) {
+		// The full description of a former member is not needed: the status
+		// matters only to VMs that still consider the member live.
 		u := Update{Member: e.Member, Brief: !e.live()}
-		if !page.addUpdate(u) {
+		if !packet.addUpdate(u) {
 			flush()
-			page.addUpdate(u)
+			packet.addUpdate(u)
 		}
 	}
 	for _, t := range c.registry.All() {
 		u := TargetUpdate{Announcement: t.Announcement, Age: now.Sub(t.LastHeard)}
-		if wanted.has(t.Announcement.Zone) && !page.addTarget(u) {
+		if wanted.contains(t.Announcement.Zone) && !packet.addTarget(u) {
 			flush()
-			page.addTarget(u)
+			packet.addTarget(u)
 		}
 	}
 	for _, d := range c.registry.Drains() {
-		if !page.addDrain(d) {
+		if !packet.addDrain(d) {
 			flush()
-			page.addDrain(d)
+			packet.addDrain(d)
 		}
 	}
 	flush()
 }
 
-// zoneSet is a set of zones; empty means all.
+// zoneSet is a set of zones. An empty set contains all zones.
 type zoneSet []string
 
-func (z zoneSet) has(zone string) bool {
+func (z zoneSet) contains(zone string) bool {
 	for _, s := range z {
 		if s == zone {
 			return true
@@ -238,65 +241,65 @@
 	return len(z) == 0
 }
 
-// page fills one packet.
-type page struct {
-	message Message
-	left    int
+// packetBuilder fills one message up to the packet size limit.
+type packetBuilder struct {
+	message   Message
+	remaining int
 }
 
-func newPage(kind Kind) *page {
-	// Names in the header are at most as long as those in an update; 64 bytes
-	// each are allowed for.
-	return &page{message: Message{Kind: kind}, left: MaxPacketBytes - headerBytes - 128}
+func newPacketBuilder(kind Kind) *packetBuilder {
+	// The header names the sender's VM and zone. Both names are no longer
+	// than those in an update; 64 bytes are reserved for each.
+	return &packetBuilder{message: Message{Kind: kind}, remaining: MaxPacketBytes - headerBytes - 128}
 }
 
-func (p *page) empty() bool {
+func (p *packetBuilder) empty() bool {
 	m := &p.message
 	return len(m.Updates)+len(m.Targets)+len(m.Beats)+len(m.Digests)+len(m.Drains) == 0
 }
 
-func (p *page) take(size int) bool {
-	if size > p.left {
+func (p *packetBuilder) reserve(size int) bool {
+	if size > p.remaining {
 		return false
 	}
-	p.left -= size
+	p.remaining -= size
 	return true
 }
 
-func (p *page) addUpdate(u Update) bool {
-	if !p.take(u.size()) {
+func (p *packetBuilder) addUpdate(u Update) bool {
+	if !p.reserve(u.size()) {
 		return false
 	}
 	p.message.Updates = append(p.message.Updates, u)
 	return true
 }
 
-func (p *page) addTarget(t TargetUpdate) bool {
-	if !p.take(t.size()) {
+func (p *packetBuilder) addTarget(t TargetUpdate) bool {
+	if !p.reserve(t.size()) {
 		return false
 	}
 	p.message.Targets = append(p.message.Targets, t)
 	return true
 }
 
-func (p *page) addBeat(b BeatUpdate) bool {
-	if !p.take(beatBytes) {
+func (p *packetBuilder) addHeartbeat(b BeatUpdate) bool {
+	if !p.reserve(heartbeatBytes) {
 		return false
 	}
 	p.message.Beats = append(p.message.Beats, b)
 	return true
 }
 
-func (p *page) addDigest(d Digest) bool {
-	if !p.take(d.size()) {
+func (p *packetBuilder) addDigest(d Digest) bool {
+	if !p.reserve(d.size()) {
 		return false
 	}
 	p.message.Digests = append(p.message.Digests, d)
 	return true
 }
 
-func (p *page) addDrain(d target.Drain) bool {
-	if !p.take(drainBytes + len(d.ID)) {
+func (p *packetBuilder) addDrain(d target.Drain) bool {
+	if !p.reserve(drainBytes + len(d.ID)) {
 		return false
 	}
 	p.message.Drains = append(p.message.Drains, d)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -6,43 +6,44 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Kind is the kind of a message. The numbers stand in packets.
+// Kind is the type of a message. Its values are part of the wire format.
 type Kind uint32
 
-// The kinds of message.
+// Message kinds.
 const (
-	// KindProbe asks for a KindAck with the same sequence.
+	// KindProbe requests a KindAck with the same sequence.
 	KindProbe Kind = 1
 	KindAck   Kind = 2
 	// KindProbeRequest asks the receiver to probe Subject.
 	KindProbeRequest Kind = 3
-	// KindGossip only carries news.
+	// KindGossip carries updates and requests nothing.
 	KindGossip Kind = 4
-	// KindSyncRequest asks for the whole state of Zones, answered by one or
-	// more messages of KindSync.
+	// KindSyncRequest requests the full state of Zones. The reply is one or
+	// more KindSync messages.
 	KindSyncRequest Kind = 5
 	KindSync        Kind = 6
 )
 
 // Message is the content of one packet.
 type Message struct {
-	// Kind says what the message is for.
+	// Kind is the type of the message.
 	Kind Kind
 	// From, Incarnation and Zone describe the sender.
 	From        string
 	Incarnation uint64
 	Zone        string
-	// Sequence matches acknowledgements to probes.
+	// Sequence matches an ack to its probe.
 	Sequence uint64
-	// Subject is the gossip address to probe; KindProbeRequest only.
+	// Subject is the gossip address to probe. Only KindProbeRequest sets it.
 	Subject string
-	// Zones lists the zones asked for, none for all, in a KindSyncRequest, and
-	// now and then the zones that the sender knows, in a KindProbe of a delegate.
+	// Zones lists the requested zones in a KindSyncRequest; empty means all. In
+	// a KindProbe of a delegate, it periodically lists the zones that the
+	// sender knows.
 	Zones []string
-	// PullBack asks the receiver to ask for the sender's state in turn.
+	// PullBack asks the receiver to request the sender's state in turn.
 	PullBack bool
 
-	// Updates, Targets, Beats, Digests and Drains are news.
+	// Updates, Targets, Beats, Digests and Drains are the gossiped updates.
 	Updates []Update
 	Targets []TargetUpdate
 	Beats   []BeatUpdate
@@ -50,62 +51,66 @@
 	Drains  []target.Drain
 }
 
-// Update is news about a member.
+// Update is a gossiped change of a member.
 type Update struct {
 	Member
-	// Brief updates leave out what stays the same for an incarnation.
+	// Brief is true if the update omits the fields that stay the same within
+	// an incarnation.
 	Brief bool
 }
 
-// TargetUpdate is an announcement with the age of its heartbeat.
+// TargetUpdate is a gossiped target announcement.
 type TargetUpdate struct {
 	target.Announcement
 	// Age is the time since a VM received the heartbeat.
 	Age time.Duration
 }
 
-// BeatUpdate is a heartbeat of a known target.
+// BeatUpdate is a gossiped heartbeat of a known target.
 type BeatUpdate struct {
 	target.Beat
 	// Age is the time since a VM received the heartbeat.
 	Age time.Duration
 }
 
-// Digest summarises a zone as one of its VMs knows it. Zones exchange digests
-// in place of their members' and targets' heartbeats.
+// Digest summarises a zone as known to one of its VMs. Zones exchange digests
+// instead of the heartbeats of their members and targets.
 type Digest struct {
-	// Zone is summarised.
+	// Zone is the summarised zone.
 	Zone string
-	// VM made the digest, in Incarnation, as number Number.
+	// VM is the VM that created the digest, Incarnation its incarnation, and
+	// Number the sequence number of the digest within it.
 	VM          string
 	Incarnation uint64
 	Number      uint64
-	// MembersHash identifies the live members and their versions.
+	// MembersHash is a hash over the live members and their versions.
 	MembersHash uint64
-	// Targets vouches for targets; its age includes the way so far.
+	// Targets summarises the targets and confirms which of them are live. Its
+	// age includes the transit time so far.
 	Targets target.Summary
 }
 
-// Packet is a message on its way to an address.
+// Packet is a message with its destination.
 type Packet struct {
-	// To is a gossip address.
+	// To is the gossip address of the receiver.
 	To string
-	// Message is the content.
+	// Message is the content of the packet.
 	Message Message
 }
 
-// MaxPacketBytes bounds a packet, so that it is never fragmented.
+// MaxPacketBytes is the maximum size of a packet. It is small enough that IP
+// never fragments a packet.
 const MaxPacketBytes = 1200
 
-// Bounds of encoded sizes. They are upper bounds for the fields of fixed
-// size, so that a packet filled by them never exceeds MaxPacketBytes.
+// Upper bounds of the encoded sizes of the fixed-size fields. A packet that is
+// filled according to them never exceeds MaxPacketBytes.
 const (
-	// headerBytes is the format version, the HMAC and the scalar fields.
+	// headerBytes covers the format version, the HMAC and the scalar fields.
 	headerBytes       = 1 + 32 + 48
 	briefUpdateBytes  = 48
 	descriptionBytes  = 32
 	announcementBytes = 110
-	beatBytes         = 40
+	heartbeatBytes    = 40
 	digestBytes       = 60
 	drainBytes        = 16
 	stringBytes       = 3
@@ -129,10 +134,10 @@
 	return n
 }
 
-// Fits reports whether an announcement can be spread in a packet. One with
-// dozens of long adapter names may not.
+// Fits reports whether an announcement fits into one packet. An announcement
+// with dozens of long adapter names may be too large.
 func Fits(a target.Announcement) bool {
-	return newPage(KindGossip).addTarget(TargetUpdate{Announcement: a})
+	return newPacketBuilder(KindGossip).addTarget(TargetUpdate{Announcement: a})
 }
 
 func (d *Digest) size() int { return digestBytes + len(d.Zone) + len(d.VM) + len(d.Targets.Live) }
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -9,168 +9,173 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// packetsPerTick bounds the packets of news to one peer per tick.
+// packetsPerTick is the maximum number of gossip packets sent to one peer per
+// tick.
 const packetsPerTick = 2
 
-// newsItem is one piece of news with the transmissions it has left.
-type newsItem struct {
-	// key names the subject; later news about it replaces earlier news.
+// broadcast is a queued update with its remaining transmissions.
+type broadcast struct {
+	// key identifies the subject. A later broadcast with the same key replaces
+	// an earlier one.
 	key string
-	// ticks is the number of ticks in which fanout peers still get it.
-	ticks int
-	// cross is the number of ticks in which delegates of other zones still
-	// get it.
-	cross int
-	// heard is when the heartbeat in it was received by a VM.
-	heard time.Time
-
-	update *Update
-	target *target.Announcement
-	beat   *target.Beat
-	digest *Digest
-	drain  *target.Drain
+	// zoneTransmits is the remaining number of ticks in which it is sent to
+	// fanout zone peers.
+	zoneTransmits int
+	// crossZoneTransmits is the remaining number of ticks in which it is sent
+	// to the delegates of other zones.
+	crossZoneTransmits int
+	// receivedAt is when a VM received the heartbeat it carries.
+	receivedAt time.Time
+
+	update    *Update
+	target    *target.Announcement
+	heartbeat *target.Beat
+	digest    *Digest
+	drain     *target.Drain
 }
 
-const crossTicks = 2
+// crossZoneTransmitLimit is the number of ticks in which an update of this zone is
+// sent to the delegates of other zones.
+const crossZoneTransmitLimit = 2
 
-// urgentTicks is how often important news is passed on: often enough that no
-// VM of a zone of this size is left out.
-func (c *Core) urgentTicks() int {
-	return bits.Len(uint(len(c.inZone(c.self.Zone)))) + 1
+// urgentTransmits returns how often an important update is sent: often enough
+// to reach every VM of a zone of this size.
+func (c *Core) urgentTransmits() int {
+	return bits.Len(uint(len(c.liveInZone(c.self.Zone)))) + 1
 }
 
-// farTicks is how often news that takes nothing back is passed on if it comes
-// from another zone. VMs that are left out find out by digests. At a start of
-// the whole fleet this is most of the traffic.
-func (c *Core) farTicks(joined bool) int {
+// remoteTransmits returns how often an update from another zone is sent if it
+// reports a live member or a new target. VMs that miss it detect that from
+// digests. Such updates are most of the traffic when the whole fleet starts.
+func (c *Core) remoteTransmits(joined bool) int {
 	if joined {
 		return 2
 	}
 	return 1
 }
 
-func (c *Core) crossTicks(own bool) int {
+func (c *Core) crossZoneTransmitsFor(own bool) int {
 	if own {
-		return crossTicks
+		return crossZoneTransmitLimit
 	}
 	return 0
 }
 
-// spreadMember queues news about a member. News that changes only the payload
-// of a member elsewhere is frequent and not urgent.
-func (c *Core) spreadMember(m Member, brief bool) {
-	item := &newsItem{
-		key:    "m/" + m.VM,
-		ticks:  c.urgentTicks(),
-		cross:  c.crossTicks(m.Zone == c.self.Zone),
-		update: &Update{Member: m, Brief: brief},
+// queueMember queues an update about a member. Updates that change only the
+// payload of a member in another zone are frequent and not urgent.
+func (c *Core) queueMember(m Member, brief bool) {
+	item := &broadcast{
+		key:                "m/" + m.VM,
+		zoneTransmits:      c.urgentTransmits(),
+		crossZoneTransmits: c.crossZoneTransmitsFor(m.Zone == c.self.Zone),
+		update:             &Update{Member: m, Brief: brief},
 	}
 	if m.Status == Alive && m.Zone != c.self.Zone {
-		item.ticks = c.farTicks(!brief)
+		item.zoneTransmits = c.remoteTransmits(!brief)
 	}
-	if c.quiet && m.Zone != c.self.Zone {
-		item.ticks = 0
+	if c.mergingSync && m.Zone != c.self.Zone {
+		item.zoneTransmits = 0
 	}
-	if old, ok := c.news[item.key]; ok && old.update.Incarnation == m.Incarnation && !old.update.Brief {
+	if old, ok := c.broadcasts[item.key]; ok && old.update.Incarnation == m.Incarnation && !old.update.Brief {
 		item.update.Brief = false
 	}
-	c.news[item.key] = item
+	c.broadcasts[item.key] = item
 }
 
-func (c *Core) spreadTarget(a target.Announcement, change target.Change, heard time.Time) {
+func (c *Core) queueTarget(a target.Announcement, change target.Change, receivedAt time.Time) {
 	switch change {
 	case target.Stale:
 	case target.Refreshed:
 		if a.Zone == c.self.Zone {
 			key := target.Ref{ID: a.ID, Incarnation: a.Incarnation}.Key()
-			c.spreadBeat(target.Beat{Key: key, Sequence: a.Sequence, Load: a.Load}, heard)
+			c.queueHeartbeat(target.Beat{Key: key, Sequence: a.Sequence, Load: a.Load}, receivedAt)
 		}
 	default:
-		item := &newsItem{
-			key:    "t/" + a.ID,
-			ticks:  c.urgentTicks(),
-			cross:  c.crossTicks(a.Zone == c.self.Zone),
-			heard:  heard,
-			target: &a,
+		item := &broadcast{
+			key:                "t/" + a.ID,
+			zoneTransmits:      c.urgentTransmits(),
+			crossZoneTransmits: c.crossZoneTransmitsFor(a.Zone == c.self.Zone),
+			receivedAt:         receivedAt,
+			target:             &a,
 		}
 		if change == target.Joined && a.Zone != c.self.Zone {
-			item.ticks = c.farTicks(true)
+			item.zoneTransmits = c.remoteTransmits(true)
 		}
-		if c.quiet && a.Zone != c.self.Zone {
-			item.ticks = 0
+		if c.mergingSync && a.Zone != c.self.Zone {
+			item.zoneTransmits = 0
 		}
-		c.news[item.key] = item
+		c.broadcasts[item.key] = item
 	}
 }
 
-func (c *Core) spreadBeat(b target.Beat, heard time.Time) {
+func (c *Core) queueHeartbeat(b target.Beat, receivedAt time.Time) {
 	key := "b/" + strconv.FormatUint(b.Key, 16)
-	c.news[key] = &newsItem{key: key, ticks: 1, heard: heard, beat: &b}
+	c.broadcasts[key] = &broadcast{key: key, zoneTransmits: 1, receivedAt: receivedAt, heartbeat: &b}
 }
 
-func (c *Core) spreadDrain(d target.Drain, own bool) {
-	c.news["d/"+d.ID] = &newsItem{
-		key:   "d/" + d.ID,
-		ticks: c.urgentTicks(),
-		cross: c.crossTicks(own),
-		drain: &d,
+func (c *Core) queueDrain(d target.Drain, own bool) {
+	c.broadcasts["d/"+d.ID] = &broadcast{
+		key:                "d/" + d.ID,
+		zoneTransmits:      c.urgentTransmits(),
+		crossZoneTransmits: c.crossZoneTransmitsFor(own),
+		drain:              &d,
 	}
 }
 
-func (c *Core) spreadDigest(d Digest, heard time.Time) {
-	c.news["z/"+d.Zone] = &newsItem{key: "z/" + d.Zone, ticks: 1, heard: heard, digest: &d}
+func (c *Core) queueDigest(d Digest, receivedAt time.Time) {
+	c.broadcasts["z/"+d.Zone] = &broadcast{key: "z/" + d.Zone, zoneTransmits: 1, receivedAt: receivedAt, digest: &d}
 }
 
-// tickNews passes queued news on.
-func (c *Core) tickNews(now time.Time) {
-	if len(c.news) == 0 {
+// tickBroadcasts sends the queued broadcasts.
+func (c *Core) tickBroadcasts(now time.Time) {
+	if len(c.broadcasts) == 0 {
 		return
 	}
-	items := c.sortedNews()
+	items := c.sortedBroadcasts()
 	peers := c.shuffled(c.zonePeers())
 	peers = peers[:min(fanout, len(peers))]
 	if len(peers) > 0 {
-		near := pack(now, items, func(i *newsItem) *int { return &i.ticks })
+		zonePackets := pack(now, items, func(i *broadcast) *int { return &i.zoneTransmits })
 		for _, e := range peers {
-			c.sendPages(e.GossipAddress, near)
+			c.sendAll(e.GossipAddress, zonePackets)
 		}
 	}
 	if c.isDelegate() {
-		far := pack(now, items, func(i *newsItem) *int { return &i.cross })
-		c.toOtherZones(func(e *entry) { c.sendPages(e.GossipAddress, far) })
+		remotePackets := pack(now, items, func(i *broadcast) *int { return &i.crossZoneTransmits })
+		c.forEachRemoteDelegate(func(e *entry) { c.sendAll(e.GossipAddress, remotePackets) })
 	}
 	for _, i := range items {
 		if len(peers) == 0 && i.key != "m/"+c.self.VM {
-			// There is nobody to tell; peers that come later ask for the state.
-			i.ticks = 0
+			// No peer is known. Peers that join later request the state.
+			i.zoneTransmits = 0
 		}
-		if i.ticks <= 0 && (i.cross <= 0 || !c.isDelegate()) {
-			delete(c.news, i.key)
+		if i.zoneTransmits <= 0 && (i.crossZoneTransmits <= 0 || !c.isDelegate()) {
+			delete(c.broadcasts, i.key)
 		}
 	}
 }
 
-// sortedNews orders the queue: changes before heartbeats, and news with the
-// fewest transmissions so far first.
-func (c *Core) sortedNews() []*newsItem {
-	items := make([]*newsItem, 0, len(c.news))
-	for _, i := range c.news {
+// sortedBroadcasts returns the queue in sending order: changes before
+// heartbeats, and within a priority the least transmitted broadcasts first.
+func (c *Core) sortedBroadcasts() []*broadcast {
+	items := make([]*broadcast, 0, len(c.broadcasts))
+	for _, i := range c.broadcasts {
 		items = append(items, i)
 	}
 	sort.Slice(items, func(i, j int) bool {
 		a, b := items[i], items[j]
-		if a.rank() != b.rank() {
-			return a.rank() < b.rank()
+		if a.priority() != b.priority() {
+			return a.priority() < b.priority()
 		}
-		if a.ticks != b.ticks {
-			return a.ticks > b.ticks
+		if a.zoneTransmits != b.zoneTransmits {
+			return a.zoneTransmits > b.zoneTransmits
 		}
 		return a.key < b.key
 	})
 	return items
 }
 
-func (i *newsItem) rank() int {
+func (i *broadcast) priority() int {
 	switch {
 	case i.target != nil, i.drain != nil:
 		return 0
@@ -178,41 +183,41 @@
 		return 1
 	case i.update != nil && i.update.Status != Alive:
 		return 2
-	case i.beat != nil:
+	case i.heartbeat != nil:
 		return 3
 	}
 	return 4
 }
 
-// pack fills packets with the items that have transmissions left and counts
-// the transmissions.
-func pack(now time.Time, items []*newsItem, left func(*newsItem) *int) []*page {
-	pages := []*page{newPage(KindGossip)}
+// pack fills packets with the items that have transmissions remaining and
+// decrements their counts.
+func pack(now time.Time, items []*broadcast, remaining func(*broadcast) *int) []*packetBuilder {
+	packets := []*packetBuilder{newPacketBuilder(KindGossip)}
 	for _, i := range items {
-		if *left(i) <= 0 {
+		if *remaining(i) <= 0 {
 			continue
 		}
-		if !i.addTo(pages[len(pages)-1], now) {
-			if len(pages) == packetsPerTick {
+		if !i.addTo(packets[len(packets)-1], now) {
+			if len(packets) == packetsPerTick {
 				continue
 			}
-			pages = append(pages, newPage(KindGossip))
-			i.addTo(pages[len(pages)-1], now)
+			packets = append(packets, newPacketBuilder(KindGossip))
+			i.addTo(packets[len(packets)-1], now)
 		}
-		*left(i)--
+		*remaining(i)--
 	}
-	return pages
+	return packets
 }
 
-func (i *newsItem) addTo(p *page, now time.Time) bool {
-	age := max(0, now.Sub(i.heard))
+func (i *broadcast) addTo(p *packetBuilder, now time.Time) bool {
+	age := max(0, now.Sub(i.receivedAt))
 	switch {
 	case i.update != nil:
 		return p.addUpdate(*i.update)
 	case i.target != nil:
 		return p.addTarget(TargetUpdate{Announcement: *i.target, Age: age})
-	case i.beat != nil:
-		return p.addBeat(BeatUpdate{Beat: *i.beat, Age: age})
+	case i.heartbeat != nil:
+		return p.addHeartbeat(BeatUpdate{Beat: *i.heartbeat, Age: age})
 	case i.drain != nil:
 		return p.addDrain(*i.drain)
 	}
@@ -221,8 +226,8 @@
 	return p.addDigest(d)
 }
 
-func (c *Core) sendPages(to string, pages []*page) {
-	for _, p := range pages {
+func (c *Core) sendAll(to string, packets []*packetBuilder) {
+	for _, p := range packets {
 		if !p.empty() {
 			c.send(to, p.message)
 		}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// probeState is the probe in progress.
+// probeState is the state of the probe in progress.
 type probeState struct {
-	vm       string
-	sequence uint64
-	started  time.Time
-	asked    bool
-	done     bool
+	vm           string
+	sequence     uint64
+	started      time.Time
+	indirectSent bool
+	acked        bool
 }
 
-// relay is a probe made for another VM.
+// relay is an indirect probe in progress on behalf of another VM.
 type relay struct {
 	to       string
 	sequence uint64
@@ -23,23 +23,23 @@
 		return
 	}
 	p := &c.probe
-	if p.vm != "" && !p.done && !p.asked && now.Sub(p.started) >= probeTimeout {
-		p.asked = true
-		c.askHelpers()
+	if p.vm != "" && !p.acked && !p.indirectSent && now.Sub(p.started) >= probeTimeout {
+		p.indirectSent = true
+		c.requestIndirectProbes()
 	}
 	if now.Before(c.nextProbe) {
 		return
 	}
 	c.nextProbe = now.Add(probeInterval)
-	if p.vm != "" && !p.done {
-		c.suspect(now, p.vm)
+	if p.vm != "" && !p.acked {
+		c.markSuspect(now, p.vm)
 	}
 	c.startProbe(now)
 }
 
 func (c *Core) startProbe(now time.Time) {
 	c.probe = probeState{}
-	e := c.nextInRing()
+	e := c.nextToProbe()
 	if e == nil {
 		return
 	}
@@ -48,7 +48,8 @@
 	c.send(e.GossipAddress, c.probeMessage(e, c.sequence))
 }
 
-// probeMessage tells a suspect of the suspicion, so that it can refute.
+// probeMessage returns a probe of e. It carries the status of a member that is
+// not alive, so that the member can refute it.
 func (c *Core) probeMessage(e *entry, sequence uint64) Message {
 	m := Message{Kind: KindProbe, Sequence: sequence}
 	if e.Status != Alive {
@@ -57,36 +58,37 @@
 	return m
 }
 
-// nextInRing visits the zone peers in a random order, each once per round, so
-// that the time until a failed VM is probed is bounded.
-func (c *Core) nextInRing() *entry {
+// nextToProbe returns the next zone peer to probe. It visits the peers in
+// random order, each once per round, which bounds the time until a failed VM
+// is probed.
+func (c *Core) nextToProbe() *entry {
 	for range 2 {
-		for len(c.ring) > 0 {
-			e, ok := c.members[c.ring[0]]
-			c.ring = c.ring[1:]
+		for len(c.probeOrder) > 0 {
+			e, ok := c.members[c.probeOrder[0]]
+			c.probeOrder = c.probeOrder[1:]
 			if ok && e.live() && e.Zone == c.self.Zone {
 				return e
 			}
 		}
 		for _, e := range c.shuffled(c.zonePeers()) {
-			c.ring = append(c.ring, e.VM)
+			c.probeOrder = append(c.probeOrder, e.VM)
 		}
 	}
 	return nil
 }
 
-func (c *Core) askHelpers() {
+func (c *Core) requestIndirectProbes() {
 	e, ok := c.members[c.probe.vm]
 	if !ok {
 		return
 	}
 	asked := 0
-	for _, helper := range c.shuffled(c.zonePeers()) {
-		if helper.VM == e.VM || asked == indirectProbes {
+	for _, relay := range c.shuffled(c.zonePeers()) {
+		if relay.VM == e.VM || asked == indirectProbes {
 			continue
 		}
 		asked++
-		c.send(helper.GossipAddress, Message{
+		c.send(relay.GossipAddress, Message{
 			Kind:     KindProbeRequest,
 			Sequence: c.probe.sequence,
 			Subject:  e.GossipAddress,
@@ -94,15 +96,15 @@
 	}
 }
 
-func (c *Core) probeFor(now time.Time, from string, m *Message) {
+func (c *Core) relayProbe(now time.Time, from string, m *Message) {
 	c.sequence++
 	c.relays[c.sequence] = relay{to: from, sequence: m.Sequence, expires: now.Add(probeInterval)}
 	c.send(m.Subject, Message{Kind: KindProbe, Sequence: c.sequence})
 }
 
-func (c *Core) acknowledged(sequence uint64) {
+func (c *Core) handleAck(sequence uint64) {
 	if c.probe.sequence == sequence {
-		c.probe.done = true
+		c.probe.acked = true
 	}
 	r, ok := c.relays[sequence]
 	if ok {
@@ -111,21 +113,22 @@
 	}
 }
 
-func (c *Core) suspect(now time.Time, vm string) {
+func (c *Core) markSuspect(now time.Time, vm string) {
 	if e, ok := c.members[vm]; ok && e.Status == Alive {
 		c.setStatus(now, e, Suspect)
 	}
 }
 
-// expire ends suspicions of members of this zone and forgets former members.
-// Members of other zones are judged by their own zone.
+// expire declares suspects of this zone dead after suspicionTimeout and removes
+// expired former members, sync limits and relays. Suspects of other zones are
+// left to their own zone.
 func (c *Core) expire(now time.Time) {
 	for vm, e := range c.members {
-		age := now.Sub(e.since)
+		age := now.Sub(e.statusSince)
 		switch {
 		case e.Status == Suspect && e.Zone == c.self.Zone && age >= suspicionTimeout:
 			c.setStatus(now, e, Dead)
-		case e.Status == Dead && age >= forgetDeadAfter, e.Status == Left && age >= forgetLeftAfter:
+		case e.Status == Dead && age >= deadRetention, e.Status == Left && age >= leftRetention:
 			if vm != c.self.VM {
 				delete(c.members, vm)
 			}
@@ -143,30 +146,31 @@
 	}
 }
 
-// tickRevive probes one member that is thought dead and, at the same low
-// rate, one join address that no live member has.
-func (c *Core) tickRevive(now time.Time) {
-	if now.Before(c.nextRevive) || c.self.Status == Left {
+// tickReconnect probes one dead member and, at the same low rate, requests a
+// sync from join addresses that belong to no live member.
+func (c *Core) tickReconnect(now time.Time) {
+	if now.Before(c.nextReconnect) || c.self.Status == Left {
 		return
 	}
-	c.nextRevive = now.Add(reviveInterval)
+	c.nextReconnect = now.Add(reconnectInterval)
 	delegate := c.isDelegate()
-	dead := c.sorted(func(e *entry) bool { return e.Status == Dead && (e.Zone == c.self.Zone || delegate) })
+	dead := c.sortedMembers(func(e *entry) bool { return e.Status == Dead && (e.Zone == c.self.Zone || delegate) })
 	if len(dead) > 0 {
 		e := dead[c.rand.IntN(len(dead))]
 		c.sequence++
 		c.send(e.GossipAddress, c.probeMessage(e, c.sequence))
 	}
-	c.askJoinAddresses(now)
+	c.syncWithJoinAddresses(now)
 }
 
-// askJoinAddresses asks the join addresses that no live member has for their
-// state. Asking only one would let VMs that start together form islands.
-func (c *Core) askJoinAddresses(now time.Time) {
+// syncWithJoinAddresses requests a sync from up to maxJoinRequests join
+// addresses that belong to no live member. With only one, VMs that start
+// together could form separate clusters.
+func (c *Core) syncWithJoinAddresses(now time.Time) {
 	asked := 0
 	for _, i := range c.rand.Perm(len(c.join)) {
 		address := c.join[i]
-		if address == c.self.GossipAddress || c.liveAt(address) || asked == maxJoinRequests {
+		if address == c.self.GossipAddress || c.hasLiveAddress(address) || asked == maxJoinRequests {
 			continue
 		}
 		asked++
@@ -174,7 +178,7 @@
 	}
 }
 
-func (c *Core) liveAt(address string) bool {
+func (c *Core) hasLiveAddress(address string) bool {
 	for _, e := range c.members {
 		if e.live() && e.GossipAddress == address {
 			return true
@@ -183,13 +187,13 @@
 	return false
 }
 
-// tickJoin asks the join addresses for the state while this VM knows nobody,
-// and for a while after its start.
+// tickJoin requests a sync from the join addresses while this VM knows no other
+// member, and during joinPeriod after its start.
 func (c *Core) tickJoin(now time.Time) {
 	alone := len(c.members) == 1
 	if now.Before(c.nextJoin) || !alone && now.Sub(c.started) > joinPeriod {
 		return
 	}
 	c.nextJoin = now.Add(joinInterval)
-	c.askJoinAddresses(now)
+	c.syncWithJoinAddresses(now)
 }
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// reporter is the common part of the test types of testing and rapid.
-type reporter interface {
+// testingT is the common subset of *testing.T, *testing.B and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
@@ -21,16 +21,16 @@
 
 // vm is one simulated VM; core is nil while it is down.
 type vm struct {
-	member   membership.Member
-	core     *membership.Core
-	registry *target.Registry
-	sent     int
+	member    membership.Member
+	core      *membership.Core
+	registry  *target.Registry
+	sentBytes int
 }
 
 type event struct {
-	at    time.Time
-	order int
-	run   func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 type events []event
@@ -40,7 +40,7 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -51,27 +51,27 @@
 	return x
 }
 
-// sim runs VMs in one goroutine under a simulated clock and network. Packets
-// pass the real encoder and decoder.
+// sim runs VMs in one goroutine with a simulated clock and network. Packets pass
+// through the real encoder and decoder.
 type sim struct {
-	t       reporter
-	now     time.Time
-	queue   events
-	pushed  int
-	rand    *rand.Rand
-	vms     []*vm
-	byAddr  map[string]*vm
-	lose    func(from, to *vm) bool
-	targets map[string]func()
-}
-
-func newSim(t reporter, seed uint64, zones, perZone int) *sim {
+	t         testingT
+	now       time.Time
+	queue     events
+	scheduled int
+	rand      *rand.Rand
+	vms       []*vm
+	byAddr    map[string]*vm
+	drops     func(from, to *vm) bool
+	targets   map[string]func()
+}
+
+func newSim(t testingT, seed uint64, zones, perZone int) *sim {
 	s := &sim{
 		t:       t,
 		now:     time.Unix(1_700_000_000, 0),
 		rand:    rand.New(rand.NewPCG(seed, 1)),
 		byAddr:  make(map[string]*vm),
-		lose:    func(_, _ *vm) bool { return false },
+		drops:   func(_, _ *vm) bool { return false },
 		targets: make(map[string]func()),
 	}
 	for i := range zones * perZone {
@@ -88,9 +88,9 @@
 	return s
 }
 
-func (s *sim) at(delay time.Duration, run func()) {
-	s.pushed++
-	heap.Push(&s.queue, event{s.now.Add(delay), s.pushed, run})
+func (s *sim) schedule(delay time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{s.now.Add(delay), s.scheduled, run})
 }
 
 func (s *sim) run(d time.Duration) {
@@ -106,7 +106,7 @@
 func (s *sim) start(v *vm) {
 	v.member.Incarnation = uint64(s.now.UnixMicro())
 	v.registry = target.NewRegistry()
-	// As in a service's settings, every VM is told two VMs to join.
+	// Every VM has the same two join addresses, as in the settings of a service.
 	join := []string{s.vms[0].member.GossipAddress, s.vms[len(s.vms)/2].member.GossipAddress}
 	v.core = membership.New(membership.Config{
 		Self: v.member, Join: join, Registry: v.registry, Rand: rand.New(rand.NewPCG(s.rand.Uint64(), 2)),
@@ -119,9 +119,9 @@
 		}
 		v.registry.Expire(s.now, time.Minute)
 		s.deliver(v, core.Tick(s.now))
-		s.at(membership.TickInterval, tick)
+		s.schedule(membership.TickInterval, tick)
 	}
-	s.at(time.Duration(s.rand.Int64N(int64(membership.TickInterval))), tick)
+	s.schedule(time.Duration(s.rand.Int64N(int64(membership.TickInterval))), tick)
 }
 
 func (s *sim) deliver(from *vm, packets []membership.Packet) {
@@ -130,9 +130,9 @@
 		if err != nil {
 			s.t.Fatalf("encode %+v: %v", packets[i].Message, err)
 		}
-		from.sent += len(data)
+		from.sentBytes += len(data)
 		to := s.byAddr[packets[i].To]
-		if to == nil || s.lose(from, to) {
+		if to == nil || s.drops(from, to) {
 			continue
 		}
 		latency := 500 * time.Microsecond
@@ -143,7 +143,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.at(latency, func() {
+		s.schedule(latency, func() {
 			if to.core != nil {
 				s.deliver(to, to.core.Receive(s.now, from.member.GossipAddress, m))
 			}
@@ -151,16 +151,17 @@
 	}
 }
 
-// engine starts a target that announces itself to v every second; the result
-// changes it, and stops it if it returns false.
-func (s *sim) engine(id string, v *vm) (change func(func(*target.Announcement) bool)) {
+// startEngine starts a target that announces itself to v every second. The
+// returned function sets a hook that edits each announcement; the engine stops
+// when the hook returns false.
+func (s *sim) startEngine(id string, v *vm) (change func(func(*target.Announcement) bool)) {
 	a := target.Announcement{
 		ID: id, Incarnation: uint64(s.now.UnixMicro()), Kind: target.KindEngine, Zone: v.member.Zone, Region: v.member.Region,
 		URL: "http://10.1.0.1:8000", Model: "gutachter", Version: "v1", Role: "mixed", BatchSlots: 16,
 	}
 	edit := func(*target.Announcement) bool { return true }
-	var beat func()
-	beat = func() {
+	var heartbeat func()
+	heartbeat = func() {
 		a.Sequence++
 		a.Load.Running = s.rand.IntN(16)
 		if !edit(&a) {
@@ -169,13 +170,13 @@
 		if v.core != nil {
 			v.core.Announce(a, v.registry.Announce(a, s.now), s.now)
 		}
-		s.at(target.HeartbeatInterval, beat)
+		s.schedule(target.HeartbeatInterval, heartbeat)
 	}
-	s.at(time.Duration(s.rand.Int64N(int64(time.Second))), beat)
+	s.schedule(time.Duration(s.rand.Int64N(int64(time.Second))), heartbeat)
 	return func(f func(*target.Announcement) bool) { edit = f }
 }
 
-func (s *sim) up() []*vm {
+func (s *sim) running() []*vm {
 	var out []*vm
 	for _, v := range s.vms {
 		if v.core != nil {
@@ -185,7 +186,7 @@
 	return out
 }
 
-func (s *sim) names(v *vm) string {
+func (s *sim) memberNames(v *vm) string {
 	var names []string
 	for _, m := range v.core.Members(s.now) {
 		names = append(names, fmt.Sprintf("%s/%d", m.VM, m.Incarnation))
@@ -193,44 +194,46 @@
 	return fmt.Sprint(names)
 }
 
-// disagreement names a VM that does not see exactly the running VMs.
-func (s *sim) disagreement() string {
+// divergence describes a VM that does not list exactly the running VMs; it is
+// empty if there is none.
+func (s *sim) divergence() string {
 	var want []string
-	for _, v := range s.up() {
+	for _, v := range s.running() {
 		want = append(want, fmt.Sprintf("%s/%d", v.member.VM, v.member.Incarnation))
 	}
 	sort.Strings(want)
-	for _, v := range s.up() {
-		if got := s.names(v); got != fmt.Sprint(want) {
-			return fmt.Sprintf("%s sees %s\nwant %v", v.member.VM, got, want)
+	for _, v := range s.running() {
+		if got := s.memberNames(v); got != fmt.Sprint(want) {
+			return fmt.Sprintf("%s lists members %s\nwant %v", v.member.VM, got, want)
 		}
 	}
 	return ""
 }
 
-// until runs until ok holds and returns how long it took.
-func (s *sim) until(limit time.Duration, what string, ok func() bool) time.Duration {
+// waitUntil runs the simulation until ok holds and returns how long it took.
+func (s *sim) waitUntil(limit time.Duration, what string, ok func() bool) time.Duration {
 	s.t.Helper()
 	start := s.now
 	for !ok() {
 		if s.now.Sub(start) >= limit {
-			s.t.Fatalf("%s: not within %v: %s", what, limit, s.disagreement())
+			s.t.Fatalf("%s: condition not met within %v: %s", what, limit, s.divergence())
 		}
 		s.run(10 * time.Millisecond)
 	}
 	return s.now.Sub(start)
 }
 
-// agreed is disagreement without the text; it is asked every 10 ms.
-func (s *sim) agreed() bool {
-	up := s.up()
-	for _, v := range up {
+// converged reports whether every VM lists exactly the running VMs. It skips the
+// text of divergence because waitUntil calls it every 10 ms.
+func (s *sim) converged() bool {
+	running := s.running()
+	for _, v := range running {
 		members := v.core.Members(s.now)
-		if len(members) != len(up) {
+		if len(members) != len(running) {
 			return false
 		}
 		for i, m := range members {
-			if m.VM != up[i].member.VM || m.Incarnation != up[i].member.Incarnation {
+			if m.VM != running[i].member.VM || m.Incarnation != running[i].member.Incarnation {
 				return false
 			}
 		}
--- a/internal/membership/zones.go
+++ b/internal/membership/zones.go
@@ -5,41 +5,45 @@
 	"time"
 )
 
-// zoneState is what this VM knows about a zone as a whole.
+// zoneState is what this VM knows about another zone or its own as a whole.
 type zoneState struct {
-	// heard is when the newest digest was received.
-	heard time.Time
-	// passedOn is when a digest was last queued for the zone peers.
-	passedOn time.Time
-	// makers holds the newest digest of each VM that made one.
-	makers map[string]digestMaker
+	// lastDigest is when the newest digest was received.
+	lastDigest time.Time
+	// lastForwarded is when a digest was last queued for the zone peers.
+	lastForwarded time.Time
+	// sources describes the newest digest of each VM that sends digests of the
+	// zone.
+	sources map[string]digestSource
 }
 
-type digestMaker struct {
+type digestSource struct {
 	incarnation, number uint64
-	// differsSince is when the state here began to differ from its digests.
-	differsSince time.Time
+	// mismatchSince is when the local state began to differ from the source's
+	// digests; zero if they match.
+	mismatchSince time.Time
 }
 
-// passOnInterval bounds how often digests of one zone are passed on. Both
-// delegates of a zone make digests; passing on each would double the bytes.
-const passOnInterval = 300 * time.Millisecond
+// forwardInterval is the minimum time between two forwarded digests of one
+// zone. Both delegates of a zone send digests, and forwarding each of them
+// would double the traffic.
+const forwardInterval = 300 * time.Millisecond
 
 func (c *Core) zone(name string) *zoneState {
 	z, ok := c.zones[name]
 	if !ok {
-		z = &zoneState{makers: make(map[string]digestMaker)}
+		z = &zoneState{sources: make(map[string]digestSource)}
 		c.zones[name] = z
 	}
 	return z
 }
 
-// reachable reports whether a zone was heard from lately.
+// reachable reports whether zone is this VM's own or sent a digest within
+// zoneTimeout.
 func (c *Core) reachable(zone string, now time.Time) bool {
-	return zone == c.self.Zone || now.Sub(c.zone(zone).heard) < zoneTimeout
+	return zone == c.self.Zone || now.Sub(c.zone(zone).lastDigest) < zoneTimeout
 }
 
-// digest summarises this VM's own zone.
+// digest returns a new digest of this VM's zone.
 func (c *Core) digest(now time.Time) Digest {
 	c.digestNumber++
 	return Digest{
@@ -52,8 +56,8 @@
 	}
 }
 
-// tickZones lets a delegate send its digest to its zone and to the delegates
-// of other zones.
+// tickZones sends a digest to the zone peers and to the delegates of other
+// zones if this VM is a delegate.
 func (c *Core) tickZones(now time.Time) {
 	if now.Before(c.nextDigest) || c.self.Status == Left {
 		return
@@ -63,30 +67,30 @@
 		return
 	}
 	d := c.digest(now)
-	c.spreadDigest(d, now.Add(-d.Targets.Age))
+	c.queueDigest(d, now.Add(-d.Targets.Age))
 	probe := Message{Kind: KindProbe, Digests: []Digest{d}}
-	if c.digestNumber%zonesEvery == 0 {
+	if c.digestNumber%digestsPerZoneList == 0 {
 		probe.Zones = c.knownZones()
 	}
-	c.toOtherZones(func(e *entry) { c.send(e.GossipAddress, probe) })
-	c.probeSilentZones(now, probe)
+	c.forEachRemoteDelegate(func(e *entry) { c.send(e.GossipAddress, probe) })
+	c.probeUnreachableZones(now, probe)
 }
 
-// zonesEvery is how many digests go by between two lists of zones.
-const zonesEvery = 8
+// digestsPerZoneList is the number of digests per list of known zones.
+const digestsPerZoneList = 8
 
-// knownZones lists the zones of which this VM knows live members.
+// knownZones returns the zones of which this VM knows live members.
 func (c *Core) knownZones() []string {
 	zones := []string{c.self.Zone}
 	for _, zone := range c.otherZones() {
-		if c.knowsLive(zone) {
+		if c.hasLiveMember(zone) {
 			zones = append(zones, zone)
 		}
 	}
 	return zones
 }
 
-func (c *Core) knowsLive(zone string) bool {
+func (c *Core) hasLiveMember(zone string) bool {
 	for _, e := range c.members {
 		if e.Zone == zone && e.live() {
 			return true
@@ -95,19 +99,19 @@
 	return false
 }
 
-// learnZones asks for the members of zones that are unknown here. Two zones
-// that were cut off before they knew each other have no other way to meet, even
-// if a third one knows both.
-func (c *Core) learnZones(now time.Time, from string, zones []string) {
+// discoverZones requests the state of zones of which this VM knows no live
+// member. Two zones that were partitioned before they knew each other have no
+// other way to discover each other, even if a third zone knows both.
+func (c *Core) discoverZones(now time.Time, from string, zones []string) {
 	for _, zone := range zones {
-		if zone != c.self.Zone && !c.knowsLive(zone) {
+		if zone != c.self.Zone && !c.hasLiveMember(zone) {
 			c.requestSync(now, from, []string{zone}, false)
 		}
 	}
 }
 
-// toOtherZones calls f for the delegates of every other zone.
-func (c *Core) toOtherZones(f func(*entry)) {
+// forEachRemoteDelegate calls f for the delegates of every other zone.
+func (c *Core) forEachRemoteDelegate(f func(*entry)) {
 	for _, zone := range c.otherZones() {
 		for _, e := range c.delegates(zone) {
 			f(e)
@@ -128,14 +132,14 @@
 	return zones
 }
 
-// probeSilentZones probes any member of a zone that is not heard from: during
-// a cut the delegates known here may have been replaced.
-func (c *Core) probeSilentZones(now time.Time, probe Message) {
+// probeUnreachableZones probes a random member of each unreachable zone, because
+// the delegates known to this VM may have been replaced during a partition.
+func (c *Core) probeUnreachableZones(now time.Time, probe Message) {
 	for _, zone := range c.otherZones() {
 		if c.reachable(zone, now) {
 			continue
 		}
-		all := c.sorted(func(e *entry) bool { return e.Zone == zone && e.Status != Left })
+		all := c.sortedMembers(func(e *entry) bool { return e.Zone == zone && e.Status != Left })
 		if len(all) == 0 {
 			continue
 		}
@@ -148,11 +152,11 @@
 		return
 	}
 	z := c.zone(d.Zone)
-	last := z.makers[d.VM]
+	last := z.sources[d.VM]
 	if d.Incarnation < last.incarnation || d.Incarnation == last.incarnation && d.Number <= last.number {
 		return
 	}
-	z.heard = now
+	z.lastDigest = now
 	d.Targets.Age += hopAllowance
 	same := c.view(d.Zone).hash == d.MembersHash
 	if d.Zone == c.self.Zone {
@@ -160,28 +164,29 @@
 	} else {
 		same = c.registry.ApplySummary(d.Zone, d.Targets, now) && same
 	}
-	c.compare(now, from, &d, same)
-	if now.Sub(z.passedOn) >= passOnInterval {
-		z.passedOn = now
-		c.spreadDigest(d, now.Add(-d.Targets.Age))
+	c.compareDigest(now, from, &d, same)
+	if now.Sub(z.lastForwarded) >= forwardInterval {
+		z.lastForwarded = now
+		c.queueDigest(d, now.Add(-d.Targets.Age))
 	}
 }
 
-// compare asks for the state of a zone if it differs for longer than news
-// takes to arrive.
-func (c *Core) compare(now time.Time, from string, d *Digest, same bool) {
+// compareDigest requests the state of a zone if the local state has differed
+// from the digests for longer than updates take to arrive.
+func (c *Core) compareDigest(now time.Time, from string, d *Digest, same bool) {
 	z := c.zone(d.Zone)
-	maker := digestMaker{incarnation: d.Incarnation, number: d.Number}
+	source := digestSource{incarnation: d.Incarnation, number: d.Number}
 	if !same {
-		maker.differsSince = z.makers[d.VM].differsSince
-		if maker.differsSince.IsZero() {
-			maker.differsSince = now
+		source.mismatchSince = z.sources[d.VM].mismatchSince
+		if source.mismatchSince.IsZero() {
+			source.mismatchSince = now
 		}
 	}
-	z.makers[d.VM] = maker
-	if !same && now.Sub(maker.differsSince) >= mismatchGrace {
-		// The other side may be the one that lacks members, also of its own
-		// zone: a VM that joined through another zone and lost the answer.
+	z.sources[d.VM] = source
+	if !same && now.Sub(source.mismatchSince) >= mismatchGrace {
+		// The sync is mutual because the sender may be the side that lacks
+		// members, even of its own zone: the members of a VM that joined through
+		// another zone and lost the reply.
 		c.requestSync(now, from, []string{d.Zone}, true)
 	}
 }
