--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys handles caller keys. A key exists in clear text only in the
-// caller's request and in the output of "cuminwing keys new"; everything else
-// works on its SHA-256 hash.
+// Package keys handles the API keys of callers. A key exists in plain text only
+// in the caller's request and in the output of "cuminwing keys new". Everything
+// else uses its SHA-256 hash.
 package keys
 
 import (
@@ -12,24 +12,24 @@
 	"fmt"
 )
 
-// Prefix starts every key that New makes, so that secret scanners can find
+// Prefix starts every key that New returns, so that secret scanners can detect
 // leaked keys.
 const Prefix = "cw-"
 
-// keyBytes is the entropy of a new key in bytes.
+// keyBytes is the number of random bytes in a new key.
 const keyBytes = 32
 
-// Length is the number of characters of every key that New makes.
+// Length is the number of characters of every key that New returns.
 const Length = len(Prefix) + (keyBytes*8+5)/6
 
-// Hash is the SHA-256 hash of a caller key.
+// Hash is the SHA-256 hash of a key.
 type Hash [sha256.Size]byte
 
 // New returns a random key.
 func New() (string, error) {
 	buf := make([]byte, keyBytes)
 	if _, err := rand.Read(buf); err != nil {
-		return "", fmt.Errorf("read random bytes for a key: %w", err)
+		return "", fmt.Errorf("read random bytes for a new key: %w", err)
 	}
 	return Prefix + base64.RawURLEncoding.EncodeToString(buf), nil
 }
@@ -39,7 +39,7 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// ParseHash decodes a hash from its hexadecimal form.
+// ParseHash decodes a hash from its hexadecimal encoding.
 func ParseHash(s string) (Hash, error) {
 	var h Hash
 	buf, err := hex.DecodeString(s)
@@ -58,7 +58,7 @@
 	return subtle.ConstantTimeCompare(h[:], other[:]) == 1
 }
 
-// String returns the hexadecimal form.
+// String returns the hexadecimal encoding of the hash.
 func (h Hash) String() string {
 	return hex.EncodeToString(h[:])
 }
--- a/internal/keys/withdrawn.go
+++ b/internal/keys/withdrawn.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Withdrawn is a set of withdrawn keys that only grows. It is safe for
+// Withdrawn is a grow-only set of the hashes of withdrawn keys. It is safe for
 // concurrent use.
 type Withdrawn struct {
 	mu       sync.RWMutex
@@ -25,8 +25,8 @@
 	}
 }
 
-// Add withdraws keys, ends the contexts that watch them and returns those
-// that were new.
+// Add adds keys to the set, cancels the contexts that watch them and returns the
+// keys that were not in the set before.
 func (w *Withdrawn) Add(hashes ...Hash) []Hash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,8 +54,7 @@
 	return ok
 }
 
-// Digest identifies the content of the set: sets with the same content have
-// the same digest.
+// Digest returns a digest of the set. Sets with equal content have equal digests.
 func (w *Withdrawn) Digest() uint64 {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -73,11 +72,11 @@
 	return out
 }
 
-// Watch returns a context that ends when the key is withdrawn. Cancel must be
-// called to release it.
+// Watch returns a context that is cancelled when the key is withdrawn. The caller
+// must call the returned function to release the watch.
 func (w *Withdrawn) Watch(ctx context.Context, h Hash) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	entry := &watcher{cancel: cancel}
+	watch := &watcher{cancel: cancel}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, withdrawn := w.set[h]; withdrawn {
@@ -87,17 +86,17 @@
 	if w.watchers[h] == nil {
 		w.watchers[h] = make(map[*watcher]struct{})
 	}
-	w.watchers[h][entry] = struct{}{}
+	w.watchers[h][watch] = struct{}{}
 	return ctx, func() {
 		cancel()
-		w.unwatch(h, entry)
+		w.unwatch(h, watch)
 	}
 }
 
-func (w *Withdrawn) unwatch(h Hash, entry *watcher) {
+func (w *Withdrawn) unwatch(h Hash, watch *watcher) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.watchers[h], entry)
+	delete(w.watchers[h], watch)
 	if len(w.watchers[h]) == 0 {
 		delete(w.watchers, h)
 	}
