--- a/internal/orders/lease.go
+++ b/internal/orders/lease.go
@@ -3,42 +3,48 @@
 import "time"
 
 const (
-	// LeaseDuration is how long a holder may order targets after a renewal.
+	// LeaseDuration is how long the holder may send orders to targets after a
+	// renewal.
 	LeaseDuration = 5 * time.Second
-	// RenewInterval leaves two more tries before the lease ends.
+	// RenewInterval is the time between two renewals. After a failed renewal it
+	// leaves two more attempts before the lease expires.
 	RenewInterval = LeaseDuration / 3
-	// driftPermille bounds the rate error of each VM's clock.
+	// driftPermille is the maximum rate error of a VM's clock, in thousandths.
 	driftPermille = 10
 )
 
-// Lease is the order lease as seen by its holder.
+// Lease is the order lease as seen by its holder. It permits its holder to send
+// orders to targets.
 type Lease struct {
-	// Fence is the fencing number.
+	// Fence is the fencing token.
 	Fence uint64
-	// until is when this VM must stop, by its own clock.
-	until time.Time
-	// quiet is when the former holder has stopped for certain.
-	quiet time.Time
+	// expires is when this VM must stop sending orders, by its own clock.
+	expires time.Time
+	// exclusiveFrom is when the lease of the former holder has expired for
+	// certain.
+	exclusiveFrom time.Time
 }
 
-// Take begins a lease. Sent is the time before the command was proposed,
-// answered the time after it was committed.
+// Take returns a new lease. Sent is a time before the acquire command was
+// proposed, answered a time after it was committed.
 func Take(fence uint64, sent, answered time.Time) Lease {
 	// The former holder's last renewal was committed before this command and
-	// proposed earlier still. Both clocks may be off by the bound.
-	wait := LeaseDuration * (1000 + 2*driftPermille + 1) / 1000
-	return Lease{Fence: fence, until: sent.Add(LeaseDuration), quiet: answered.Add(wait)}
+	// proposed even earlier. Either clock may drift by driftPermille.
+	takeoverWait := LeaseDuration * (1000 + 2*driftPermille + 1) / 1000
+	return Lease{Fence: fence, expires: sent.Add(LeaseDuration), exclusiveFrom: answered.Add(takeoverWait)}
 }
 
-// Renew extends the lease after a renewal that was proposed at sent.
-func (l *Lease) Renew(sent time.Time) { l.until = sent.Add(LeaseDuration) }
+// Renew extends the lease after a renewal that was proposed at sent was
+// committed.
+func (l *Lease) Renew(sent time.Time) { l.expires = sent.Add(LeaseDuration) }
 
-// Until returns the time at which no order may be on its way any more.
-func (l *Lease) Until() time.Time { return l.until }
+// Until returns the expiry time of the lease. No order may be in flight after it.
+func (l *Lease) Until() time.Time { return l.expires }
 
-// Holds reports whether targets that check fencing may be ordered.
-func (l *Lease) Holds(now time.Time) bool { return l.Fence != 0 && now.Before(l.until) }
+// Holds reports whether the lease permits orders to targets that check fencing
+// tokens.
+func (l *Lease) Holds(now time.Time) bool { return l.Fence != 0 && now.Before(l.expires) }
 
-// HoldsAlone reports whether targets that do not check fencing may be
-// ordered.
-func (l *Lease) HoldsAlone(now time.Time) bool { return l.Holds(now) && !now.Before(l.quiet) }
+// HoldsAlone reports whether the lease permits orders to targets that do not
+// check fencing tokens.
+func (l *Lease) HoldsAlone(now time.Time) bool { return l.Holds(now) && !now.Before(l.exclusiveFrom) }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -15,18 +15,18 @@
 
 const model = "pisarz"
 
-// fleet simulates engines that carry out orders.
-type fleet struct {
-	t       *rapid.T
-	now     time.Time
-	part    *Part
-	engines []*target.Target
-	until   map[string]time.Time
-	models  map[string]config.Model
-	limit   int
+// simFleet simulates engines that execute orders.
+type simFleet struct {
+	t            *rapid.T
+	now          time.Time
+	part         *Part
+	engines      []*target.Target
+	loadingUntil map[string]time.Time
+	models       map[string]config.Model
+	limit        int
 }
 
-func (f *fleet) propose(c *ordersv1.Command) bool {
+func (f *simFleet) propose(c *ordersv1.Command) bool {
 	body, err := proto.Marshal(c)
 	if err != nil {
 		f.t.Fatal(err)
@@ -38,15 +38,16 @@
 	return a.GetAccepted()
 }
 
-func (f *fleet) acquire(vm string) uint64 {
+func (f *simFleet) acquire(vm string) uint64 {
 	if !f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: &ordersv1.Acquire{Vm: vm, Incarnation: 1}}}) {
 		f.t.Fatal("lease was refused")
 	}
 	return f.part.State().Fence
 }
 
-// lead does one round of the holder. Delivered says which orders arrive.
-func (f *fleet) lead(fence uint64, delivered func() bool) {
+// leaderRound runs one planning round of a lease holder. It calls delivered for
+// each open order to decide whether the order reaches its engine.
+func (f *simFleet) leaderRound(fence uint64, delivered func() bool) {
 	plan := Next(f.engines, f.models, f.part.State(), f.now)
 	f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Done, Done: true}}})
 	f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Failed}}})
@@ -56,12 +57,12 @@
 	}
 	for _, o := range f.part.State().Open() {
 		if delivered() {
-			f.carryOut(o)
+			f.execute(o)
 		}
 	}
 }
 
-func (f *fleet) carryOut(o *ordersv1.Order) {
+func (f *simFleet) execute(o *ordersv1.Order) {
 	for i, e := range f.engines {
 		if e.ID != o.GetTarget() || e.Incarnation != o.GetIncarnation() || e.Loading || e.Version == o.GetVersion() {
 			continue
@@ -69,18 +70,19 @@
 		loading := *e
 		loading.Loading, loading.Version = true, o.GetVersion()
 		f.engines[i] = &loading
-		f.until[e.ID] = f.now.Add(time.Second)
+		f.loadingUntil[e.ID] = f.now.Add(time.Second)
 	}
 }
 
-// pass lets time pass and checks what must always hold.
-func (f *fleet) pass(d time.Duration) {
+// advance advances the clock and checks the invariants: the limit of concurrent
+// loads, and a serving engine in each zone while a version is ordered.
+func (f *simFleet) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	loading, serving := 0, map[string]int{}
 	for i, e := range f.engines {
 		next := *e
 		next.LastHeard = f.now
-		next.Loading = e.Loading && f.now.Before(f.until[e.ID])
+		next.Loading = e.Loading && f.now.Before(f.loadingUntil[e.ID])
 		f.engines[i] = &next
 		if next.Loading {
 			loading++
@@ -99,10 +101,10 @@
 	}
 }
 
-func newFleet(rt *rapid.T) *fleet {
+func newSimFleet(rt *rapid.T) *simFleet {
 	limit := rapid.IntRange(1, 3).Draw(rt, "limit")
-	f := &fleet{
-		t: rt, now: time.Unix(1_700_000_000, 0), part: NewPart(), until: make(map[string]time.Time), limit: limit,
+	f := &simFleet{
+		t: rt, now: time.Unix(1_700_000_000, 0), part: NewPart(), loadingUntil: make(map[string]time.Time), limit: limit,
 		models: map[string]config.Model{model: {ServingVersion: "v1", OrderedVersion: "v2", MaxConcurrentLoads: limit}},
 	}
 	for i := range rapid.IntRange(4, 18).Draw(rt, "engines") {
@@ -113,7 +115,7 @@
 	return f
 }
 
-func (f *fleet) holding(version string) (n int) {
+func (f *simFleet) countHolding(version string) (n int) {
 	for _, e := range f.engines {
 		if e.Version == version && !e.Loading {
 			n++
@@ -122,12 +124,12 @@
 	return n
 }
 
-// Guards against a roll-out that loads on too many engines at once, leaves a
-// zone without an engine, or stops after the loss of orders, of the leader or
-// of an engine.
-func TestRollOutKeepsServingAndFinishes(t *testing.T) {
+// Guards against a rollout that loads on too many engines at once, leaves a zone
+// without a serving engine, or stalls after lost orders, a leader change or a
+// restore from a snapshot.
+func TestRolloutKeepsServingAndFinishes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newFleet(rt)
+		f := newSimFleet(rt)
 		fence := f.acquire("vm-1")
 		lossy := func() bool { return rapid.IntRange(0, 2).Draw(rt, "delivered") > 0 }
 		for range rapid.IntRange(0, 30).Draw(rt, "rounds") {
@@ -135,26 +137,26 @@
 			case 0:
 				former := fence
 				fence = f.acquire("vm-2")
-				f.lead(former, lossy)
+				f.leaderRound(former, lossy)
 			case 1:
 				data, err := f.part.Snapshot()
 				if err != nil || f.part.Restore(data) != nil {
 					rt.Fatal("snapshot", err)
 				}
 			}
-			f.lead(fence, lossy)
-			f.pass(700 * time.Millisecond)
+			f.leaderRound(fence, lossy)
+			f.advance(700 * time.Millisecond)
 		}
-		f.finish(rt, fence)
+		f.completeRollout(rt, fence)
 	})
 }
 
-func (f *fleet) finish(rt *rapid.T, fence uint64) {
+func (f *simFleet) completeRollout(rt *rapid.T, fence uint64) {
 	always := func() bool { return true }
 	half := 0
 	for range 200 {
-		f.lead(fence, always)
-		f.pass(700 * time.Millisecond)
+		f.leaderRound(fence, always)
+		f.advance(700 * time.Millisecond)
 	}
 	zones := map[string]int{}
 	for _, e := range f.engines {
@@ -163,39 +165,39 @@
 	for _, n := range zones {
 		half += n / 2
 	}
-	if got := f.holding("v2"); got != half {
+	if got := f.countHolding("v2"); got != half {
 		rt.Fatalf("%d engines hold the ordered version, want half of each zone, %d", got, half)
 	}
 	f.models[model] = config.Model{ServingVersion: "v2", MaxConcurrentLoads: f.limit}
 	for range 200 {
-		f.lead(fence, always)
-		f.pass(700 * time.Millisecond)
+		f.leaderRound(fence, always)
+		f.advance(700 * time.Millisecond)
 	}
-	if got := f.holding("v2"); got != len(f.engines) {
+	if got := f.countHolding("v2"); got != len(f.engines) {
 		rt.Fatalf("%d of %d engines hold the serving version at the end", got, len(f.engines))
 	}
 }
 
-// Guards against a former holder that changes the state after another took
-// the lease, or renews what it lost.
-func TestFormerHolderIsFencedOff(t *testing.T) {
+// Guards against a former holder that changes the state or renews its lease after
+// another VM has acquired the lease.
+func TestFormerHolderIsFenced(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newFleet(rt)
+		f := newSimFleet(rt)
 		former := f.acquire("vm-1")
 		f.acquire("vm-2")
 		renew := &ordersv1.Acquire{Vm: "vm-1", Incarnation: 1, Fence: former}
 		if f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: renew}}) {
 			rt.Fatal("the former holder renewed the lease")
 		}
-		f.lead(former, func() bool { return true })
+		f.leaderRound(former, func() bool { return true })
 		if n := len(f.part.State().Orders); n != 0 {
 			rt.Fatalf("the former holder issued %d orders", n)
 		}
 	})
 }
 
-// Guards against two holders that order a target without fencing at the same
-// time, with clocks that drift apart by 1% each.
+// Guards against two holders that send orders to a target without fencing at the
+// same time because each of their clocks drifts by up to 1%.
 func TestHoldersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := time.Unix(1_700_000_000, 0)
--- a/internal/orders/part.go
+++ b/internal/orders/part.go
@@ -1,6 +1,7 @@
-// Package orders decides what targets are ordered to load. The control log
-// holds the order lease, its fencing numbers and every open order, so that a
-// new leader goes on where the old one stopped. The package does no I/O.
+// Package orders decides which engines are ordered to load which model version.
+// The control log holds the order lease, its fencing tokens and every open order,
+// so that a new leader continues where the old one stopped. The package does no
+// I/O.
 package orders
 
 import (
@@ -14,17 +15,18 @@
 	ordersv1 "github.com/cuminwing/cuminwing/proto/orders/v1"
 )
 
-// keepClosed is how long a closed order is remembered, so that a late issue of
-// the same order is refused.
-const keepClosed = time.Hour
+// closedRetention is how long a closed order is kept, so that an issue command
+// for the same order that arrives late has no effect.
+const closedRetention = time.Hour
 
-// State is the order state as of one command. It must not be changed.
+// State is the order state after one command. Callers must not modify it.
 type State struct {
-	// VM and Incarnation hold the lease under Fence.
+	// VM and Incarnation identify the holder of the lease, Fence is its fencing
+	// token.
 	VM          string
 	Incarnation uint64
 	Fence       uint64
-	// Orders holds open and lately closed orders by ID.
+	// Orders holds the open and the recently closed orders by ID.
 	Orders map[string]*ordersv1.Order
 }
 
@@ -40,11 +42,11 @@
 	return open
 }
 
-// Part is the replicated state. It implements control.Part; State may be
-// called by any goroutine.
+// Part is the replicated order state. It implements control.Part. State is safe
+// for concurrent use.
 type Part struct{ state atomic.Pointer[State] }
 
-// NewPart returns an empty state.
+// NewPart returns a Part without a lease holder and without orders.
 func NewPart() *Part {
 	p := &Part{}
 	p.state.Store(&State{Orders: make(map[string]*ordersv1.Order)})
@@ -57,7 +59,7 @@
 // Apply implements control.Part.
 func (p *Part) Apply(_ uint64, now time.Time, body []byte) []byte {
 	var c ordersv1.Command
-	next := p.State().copy(now)
+	next := p.State().clone(now)
 	accepted := proto.Unmarshal(body, &c) == nil && next.apply(&c, now)
 	if accepted {
 		p.state.Store(next)
@@ -69,12 +71,13 @@
 	return answer
 }
 
-// copy returns a state that may be changed, without what is to be forgotten.
-func (s *State) copy(now time.Time) *State {
+// clone returns a modifiable copy without the closed orders whose retention has
+// expired.
+func (s *State) clone(now time.Time) *State {
 	next := *s
 	next.Orders = make(map[string]*ordersv1.Order, len(s.Orders))
 	for id, o := range s.Orders {
-		if o.GetClosedMs() == 0 || now.Sub(time.UnixMilli(o.GetClosedMs())) < keepClosed {
+		if o.GetClosedMs() == 0 || now.Sub(time.UnixMilli(o.GetClosedMs())) < closedRetention {
 			next.Orders[id] = o
 		}
 	}
@@ -88,14 +91,14 @@
 	case *ordersv1.Command_Issue:
 		return s.issue(k.Issue, now)
 	case *ordersv1.Command_Close:
-		return s.end(k.Close, now)
+		return s.closeOrders(k.Close, now)
 	}
 	return false
 }
 
-// acquire gives the lease to the VM that asks, with a new fencing number, or
-// renews it for its holder. Only the leader of the control log asks; that the
-// former holder has stopped is for the new holder to make sure.
+// acquire grants the lease to the requesting VM under a new fencing token, or
+// renews it for its holder. Only the leader of the control log requests it. The
+// new holder is responsible for waiting until the former holder has stopped.
 func (s *State) acquire(a *ordersv1.Acquire) bool {
 	holds := s.VM == a.GetVm() && s.Incarnation == a.GetIncarnation() && s.Fence == a.GetFence()
 	if a.GetFence() != 0 {
@@ -106,7 +109,7 @@
 	return true
 }
 
-// issue records orders. A known ID keeps its first order, so that the issue
+// issue records orders. It ignores orders with a known ID, so that the command
 // may be repeated.
 func (s *State) issue(i *ordersv1.Issue, now time.Time) bool {
 	if i.GetFence() != s.Fence {
@@ -122,7 +125,7 @@
 	return true
 }
 
-func (s *State) end(c *ordersv1.Close, now time.Time) bool {
+func (s *State) closeOrders(c *ordersv1.Close, now time.Time) bool {
 	if c.GetFence() != s.Fence {
 		return false
 	}
@@ -153,7 +156,7 @@
 func (p *Part) Restore(data []byte) error {
 	var in ordersv1.Snapshot
 	if err := proto.Unmarshal(data, &in); err != nil {
-		return fmt.Errorf("decode orders snapshot: %w", err)
+		return fmt.Errorf("decode snapshot of orders: %w", err)
 	}
 	s := &State{VM: in.GetVm(), Incarnation: in.GetIncarnation(), Fence: in.GetFence(), Orders: make(map[string]*ordersv1.Order)}
 	for _, o := range in.GetOrders() {
--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -10,33 +10,35 @@
 	ordersv1 "github.com/cuminwing/cuminwing/proto/orders/v1"
 )
 
-// KindLoad orders a target to load a version of a model.
+// KindLoad is the kind of an order to load a version of a model.
 const KindLoad = "load"
 
-// loadTimeout is when an order counts as failed. Loading takes about 0.4 s and
-// longer if the weights store is slow.
+// loadTimeout is the age at which an open order counts as failed. Loading takes
+// about 0.4 s, and longer if the weights store is slow.
 const loadTimeout = 2 * time.Minute
 
-// retryAfter is the pause after a failed order to the same engine.
-const retryAfter = 10 * time.Second
+// retryDelay is the time between the end of a load order and the next attempt of
+// the same load on the same engine.
+const retryDelay = 10 * time.Second
 
-// Plan is what the holder of the lease does next.
+// Plan lists the commands that the lease holder must propose next.
 type Plan struct {
-	// Issue lists new orders.
+	// Issue lists the orders to issue.
 	Issue []*ordersv1.Order
-	// Done and Failed list open orders to close, by ID.
+	// Done and Failed list the IDs of the open orders to close, as completed
+	// or failed.
 	Done   []string
 	Failed []string
 }
 
-// Next plans the roll-outs. It depends on nothing but its arguments, so that
-// a new leader continues the plan of the former one.
+// Next plans the next steps of the rollouts. The result depends only on the
+// arguments, so that a new leader continues the plan of the former one.
 func Next(targets []*target.Target, models map[string]config.Model, state *State, now time.Time) Plan {
 	p := &planner{
-		now:     now,
-		state:   state,
-		engines: make(map[string]*target.Target),
-		busy:    make(map[string]string),
+		now:          now,
+		state:        state,
+		engines:      make(map[string]*target.Target),
+		pendingModel: make(map[string]string),
 	}
 	for _, t := range targets {
 		if t.Kind == target.KindEngine {
@@ -45,7 +47,7 @@
 	}
 	p.closeOrders()
 	for _, name := range sortedNames(models) {
-		p.rollOut(name, models[name])
+		p.planRollout(name, models[name])
 	}
 	return p.plan
 }
@@ -54,48 +56,50 @@
 	now     time.Time
 	state   *State
 	engines map[string]*target.Target
-	// busy maps engines with an order that stays open to its model.
-	busy map[string]string
-	plan Plan
+	// pendingModel maps each engine with an order that stays open to the model
+	// of that order.
+	pendingModel map[string]string
+	plan         Plan
 }
 
-// closeOrders ends orders that are reported as done, that belong to a former
-// incarnation, or that took too long.
+// closeOrders closes the open orders whose version the engine reports as loaded,
+// that belong to a former incarnation, or that have timed out.
 func (p *planner) closeOrders() {
 	for _, o := range p.state.Open() {
 		e, known := p.engines[o.GetTarget()]
 		age := p.now.Sub(time.UnixMilli(o.GetIssuedMs()))
 		switch {
-		case known && e.Incarnation == o.GetIncarnation() && reports(e, o):
+		case known && e.Incarnation == o.GetIncarnation() && reportsLoaded(e, o):
 			p.plan.Done = append(p.plan.Done, o.GetId())
 		case known && e.Incarnation > o.GetIncarnation(), age > loadTimeout:
 			p.plan.Failed = append(p.plan.Failed, o.GetId())
 		default:
-			p.busy[o.GetTarget()] = o.GetModel()
+			p.pendingModel[o.GetTarget()] = o.GetModel()
 		}
 	}
 }
 
-func reports(e *target.Target, o *ordersv1.Order) bool {
+func reportsLoaded(e *target.Target, o *ordersv1.Order) bool {
 	return e.Model == o.GetModel() && e.Version == o.GetVersion() && !e.Loading
 }
 
-// zoneCount counts the engines of one model in one zone.
-type zoneCount struct {
-	// all may serve or could after loading.
-	all int
-	// serving are usable with the version that requests run on.
+// zoneCounts holds the number of engines of one model in one zone, by state.
+type zoneCounts struct {
+	// available engines are live and neither leaving nor draining. They may be
+	// serving or loading.
+	available int
+	// serving engines are usable and hold the serving version.
 	serving int
-	// moved hold the ordered version or are loading it.
-	moved int
+	// updated engines hold the goal version or are loading.
+	updated int
 }
 
-func (p *planner) rollOut(name string, m config.Model) {
+func (p *planner) planRollout(name string, m config.Model) {
 	goal := m.ServingVersion
 	if m.OrderedVersion != "" {
 		goal = m.OrderedVersion
 	}
-	candidates, loading, zones := p.survey(name, m, goal)
+	candidates, loading, zones := p.countEngines(name, m, goal)
 	limit := m.MaxConcurrentLoads
 	if limit <= 0 {
 		limit = config.DefaultMaxConcurrentLoads
@@ -105,7 +109,7 @@
 			return
 		}
 		z := zones[e.Zone]
-		if !mayLoad(e, m, z) {
+		if !canLoad(e, m, z) {
 			continue
 		}
 		id, ok := p.orderID(e, name, goal)
@@ -113,8 +117,8 @@
 			continue
 		}
 		loading++
-		z.moved++
-		if p.serves(e, m) {
+		z.updated++
+		if p.isServing(e, m) {
 			z.serving--
 		}
 		p.plan.Issue = append(p.plan.Issue, &ordersv1.Order{
@@ -124,19 +128,19 @@
 	}
 }
 
-// survey returns the engines that could be ordered, sorted by ID, the number
-// that load or may be loading, and the counts per zone.
-func (p *planner) survey(name string, m config.Model, goal string) (candidates []*target.Target, loading int, zones map[string]*zoneCount) {
-	zones = make(map[string]*zoneCount)
+// countEngines returns the engines that are candidates for an order, sorted by ID,
+// the number of engines that are or may be loading, and the counts per zone.
+func (p *planner) countEngines(name string, m config.Model, goal string) (candidates []*target.Target, loading int, zones map[string]*zoneCounts) {
+	zones = make(map[string]*zoneCounts)
 	for _, id := range sortedNames(p.engines) {
 		e := p.engines[id]
-		_, ordered := p.busy[id]
-		busy := ordered && p.busy[id] == name
-		if e.Model != name && !busy {
+		_, pending := p.pendingModel[id]
+		pendingForModel := pending && p.pendingModel[id] == name
+		if e.Model != name && !pendingForModel {
 			continue
 		}
-		// An engine that is silent may still be loading.
-		if busy || e.Loading {
+		// An engine that has stopped sending heartbeats may still be loading.
+		if pendingForModel || e.Loading {
 			loading++
 		}
 		if e.Leaving || e.Draining || p.now.Sub(e.LastHeard) >= target.LiveFor {
@@ -144,21 +148,21 @@
 		}
 		z := zones[e.Zone]
 		if z == nil {
-			z = &zoneCount{}
+			z = &zoneCounts{}
 			zones[e.Zone] = z
 		}
-		z.all++
+		z.available++
 		switch {
-		case busy || e.Loading || e.Version == goal:
-			z.moved++
-		case !ordered:
+		case pendingForModel || e.Loading || e.Version == goal:
+			z.updated++
+		case !pending:
 			candidates = append(candidates, e)
 		}
-		if !ordered && p.serves(e, m) {
+		if !pending && p.isServing(e, m) {
 			z.serving++
 		}
 	}
-	for id, model := range p.busy {
+	for id, model := range p.pendingModel {
 		if _, known := p.engines[id]; !known && model == name {
 			loading++
 		}
@@ -166,32 +170,33 @@
 	return candidates, loading, zones
 }
 
-func (p *planner) serves(e *target.Target, m config.Model) bool {
+func (p *planner) isServing(e *target.Target, m config.Model) bool {
 	return e.Version == m.ServingVersion && e.Usable(p.now)
 }
 
-// mayLoad keeps requests served. An engine that does not hold the serving
-// version is free. Of the others, while a version is ordered, at most half of
-// a zone moves: they serve again only when the operator makes the ordered
-// version the serving one, and then the other half follows.
-func mayLoad(e *target.Target, m config.Model, z *zoneCount) bool {
+// canLoad reports whether an engine may be taken out of service to load. An
+// engine that does not hold the serving version always may. Of the others, at
+// most half of a zone load an ordered version: they serve again only when the
+// operator makes it the serving version, and then the other half follows.
+func canLoad(e *target.Target, m config.Model, z *zoneCounts) bool {
 	if e.Version != m.ServingVersion {
 		return true
 	}
-	return z.serving > 1 && z.moved < z.all/2
+	return z.serving > 1 && z.updated < z.available/2
 }
 
-// orderID names the next try of a load. The same plan made twice, also by two
-// leaders, gives the same ID and therefore one order.
+// orderID returns the ID of the next attempt of a load. It reports false if an
+// attempt is open or retryDelay has not passed since the last one. If two leaders
+// make the same plan, it has the same ID and results in one order.
 func (p *planner) orderID(e *target.Target, model, version string) (string, bool) {
-	for try := 1; ; try++ {
-		id := fmt.Sprintf("load/%s/%d/%s/%s/%d", e.ID, e.Incarnation, model, version, try)
+	for attempt := 1; ; attempt++ {
+		id := fmt.Sprintf("load/%s/%d/%s/%s/%d", e.ID, e.Incarnation, model, version, attempt)
 		o, known := p.state.Orders[id]
 		if !known {
 			return id, true
 		}
 		closed := time.UnixMilli(o.GetClosedMs())
-		if o.GetClosedMs() == 0 || p.now.Sub(closed) < retryAfter {
+		if o.GetClosedMs() == 0 || p.now.Sub(closed) < retryDelay {
 			return "", false
 		}
 	}
