--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,5 +1,5 @@
-// Package rollout decides which engines are given new weights and when. The
-// package does no I/O; the holder of the order lease carries out what it
+// Package rollout decides which engines are updated to new weights and when. The
+// package does no I/O; the holder of the order lease executes the actions that it
 // returns.
 package rollout
 
@@ -11,45 +11,48 @@
 )
 
 const (
-	// minAtOnce and fleetPart bound how many engines of a service finish
-	// their requests or load at the same time. Most of an update is spent on
-	// the requests that run, so more engines may take part than may load at
-	// full speed; two thirds are left for the traffic.
-	minAtOnce = 2
-	fleetPart = 3
-	// Settle is the time in which the fronts hear of the mark of an engine and
-	// send their requests elsewhere.
-	Settle = 120 * time.Millisecond
-	// DrainWait is how long an engine may finish its requests before it is
-	// ordered. Those that run longer go on under the new weights, which costs
-	// what they make from then on; waiting for all of them would take seconds.
+	// minConcurrentUpdates and concurrencyDivisor limit how many engines of a
+	// service drain or load at the same time: one third of them, but at least
+	// two. Most of an update is spent on draining the running requests, so more
+	// engines may be updated at once than can load at full speed. The other two
+	// thirds keep serving.
+	minConcurrentUpdates = 2
+	concurrencyDivisor   = 3
+	// PropagationDelay is the time until the fronts know that an engine is
+	// marked as updating and send their requests elsewhere.
+	PropagationDelay = 120 * time.Millisecond
+	// DrainWait is how long an engine may drain before it is ordered to load.
+	// Requests that run longer continue under the new weights, which wastes the
+	// output that they produce from then on. Waiting for all requests would
+	// take seconds.
 	DrainWait = 700 * time.Millisecond
-	// reportLag is how old the state is that an engine reports.
+	// reportLag is the maximum age of the state that an engine reports.
 	reportLag = 200 * time.Millisecond
-	// retryPause is the time until an engine that did not follow is ordered
-	// again.
-	retryPause = 700 * time.Millisecond
-	// giveUp is when an engine that does not answer loses its place among
-	// those that change at the same time.
-	giveUp = 800 * time.Millisecond
+	// retryDelay is the time until an engine that has not executed an order is
+	// ordered again, and between two calls to an unresponsive engine.
+	retryDelay = 700 * time.Millisecond
+	// unresponsiveTimeout is the time after which an engine that does not answer
+	// no longer counts towards the limit of concurrent updates.
+	unresponsiveTimeout = 800 * time.Millisecond
 )
 
-// Step is what has to be done for one engine.
+// Step is the type of an action on an engine.
 type Step uint8
 
-// The steps of an update.
+// Steps of an update.
 const (
-	// Mark tells the fronts to send the engine nothing new.
+	// Mark marks the engine as updating, so that the fronts send it no new
+	// requests.
 	Mark Step = iota + 1
-	// Order tells the engine to change its weights.
+	// Order orders the engine to load the weights.
 	Order
-	// Check asks the engine for its weights.
+	// Check requests a status report from the engine.
 	Check
-	// Release takes the mark back.
+	// Release clears the updating mark.
 	Release
 )
 
-// Action is one step for one engine.
+// Action is a step to execute for one engine.
 type Action struct {
 	Step    Step
 	Target  fleet.Target
@@ -57,49 +60,52 @@
 }
 
 type progress struct {
-	marked  time.Duration
-	ordered time.Duration
-	checked time.Duration
-	// asked is set while a call to the engine is under way.
-	asked bool
-	// known is set once the engine has reported its count of orders.
-	known bool
-	// idle is set once the engine has reported that it runs nothing any more.
+	updatingSince time.Duration
+	lastOrder     time.Duration
+	lastCheck     time.Duration
+	// callInFlight is true while a call to the engine is in flight.
+	callInFlight bool
+	// reported is true once the engine has reported the number of orders that
+	// it has accepted.
+	reported bool
+	// idle is true if the engine's last report shows no requests and is recent
+	// enough to reflect the updating mark.
 	idle bool
-	// reached is the version that the engine has reported.
-	reached uint64
-	// silent is since when the engine has not answered; 0 if it does.
-	silent time.Duration
+	// reportedWeights is the newest weights version that the engine has
+	// reported.
+	reportedWeights uint64
+	// unresponsiveSince is the time of the first unanswered call since the last
+	// answer; 0 if the last call was answered.
+	unresponsiveSince time.Duration
 }
 
-// Planner follows the updates of all engines. It is not safe for concurrent
-// use.
+// Planner tracks the updates of all engines. It is not safe for concurrent use.
 type Planner struct {
 	engines    map[string]*progress
 	ordersFrom time.Duration
 }
 
-// New returns a planner that knows of no update.
+// New returns a planner without updates in progress.
 func New() *Planner { return &Planner{engines: make(map[string]*progress)} }
 
-// checkInterval is the time between two questions to an engine that changes
-// its weights. Each question has a price, and a load takes about 0.4 s.
+// checkInterval is the time between two status reports requested from an engine
+// that is being updated. Each report has a cost, and a load takes about 0.4 s.
 const checkInterval = 150 * time.Millisecond
 
-// Plan returns what is due at now. Orders are given from ordersFrom on, when
-// the lease of an earlier holder has ended.
+// Plan returns the actions that are due at now. It returns no orders before
+// ordersFrom, the time at which the lease of the previous holder has expired.
 func (p *Planner) Plan(now, ordersFrom time.Duration, state *fleet.State) []Action {
 	p.ordersFrom = ordersFrom
-	p.forget(state)
+	p.dropMissing(state)
 	var actions []Action
-	for _, group := range groups(state) {
-		actions = append(actions, p.planGroup(now, state, group)...)
+	for _, engines := range groupByService(state) {
+		actions = append(actions, p.planService(now, state, engines)...)
 	}
 	return actions
 }
 
-// forget drops engines that are gone.
-func (p *Planner) forget(state *fleet.State) {
+// dropMissing removes the progress of engines that are not in the state.
+func (p *Planner) dropMissing(state *fleet.State) {
 	for id := range p.engines {
 		if _, ok := state.Targets[id]; !ok {
 			delete(p.engines, id)
@@ -107,8 +113,9 @@
 	}
 }
 
-// groups returns the engines by service, those that wait longest first.
-func groups(state *fleet.State) map[string][]fleet.Target {
+// groupByService returns the engines by service, those with the oldest weights
+// first.
+func groupByService(state *fleet.State) map[string][]fleet.Target {
 	byService := make(map[string][]fleet.Target)
 	for _, t := range state.Targets {
 		if t.Model != "" && !t.Draining {
@@ -116,24 +123,24 @@
 		}
 	}
 	for _, list := range byService {
-		sort.Slice(list, func(i, j int) bool { return before(&list[i], &list[j]) })
+		sort.Slice(list, func(i, j int) bool { return updatesBefore(&list[i], &list[j]) })
 	}
 	return byService
 }
 
-// before puts engines with the oldest weights first, so that none is left
-// behind when versions follow each other quickly.
-func before(a, b *fleet.Target) bool {
+// updatesBefore orders engines with the oldest weights first, so that none is
+// starved when versions follow each other quickly.
+func updatesBefore(a, b *fleet.Target) bool {
 	if a.Weights != b.Weights {
 		return a.Weights < b.Weights
 	}
 	return a.ID < b.ID
 }
 
-func (p *Planner) planGroup(now time.Duration, state *fleet.State, list []fleet.Target) []Action {
+func (p *Planner) planService(now time.Duration, state *fleet.State, engines []fleet.Target) []Action {
 	var actions []Action
 	busy := 0
-	for _, t := range list {
+	for _, t := range engines {
 		if !t.Updating {
 			continue
 		}
@@ -141,13 +148,13 @@
 		if ok {
 			actions = append(actions, action)
 		}
-		if !p.stuck(now, t.ID) {
+		if !p.isUnresponsive(now, t.ID) {
 			busy++
 		}
 	}
-	free := max(minAtOnce, len(list)/fleetPart) - busy
-	for _, t := range list {
-		if free <= 0 {
+	available := max(minConcurrentUpdates, len(engines)/concurrencyDivisor) - busy
+	for _, t := range engines {
+		if available <= 0 {
 			break
 		}
 		if t.Updating || t.Weights >= state.Weights[t.Model] {
@@ -155,95 +162,96 @@
 		}
 		p.engines[t.ID] = &progress{}
 		actions = append(actions, Action{Step: Mark, Target: t, Weights: state.Weights[t.Model]})
-		free--
+		available--
 	}
 	return actions
 }
 
-// stuck reports whether an engine has not answered for so long that others
-// need not wait for it.
-func (p *Planner) stuck(now time.Duration, id string) bool {
+// isUnresponsive reports whether an engine has not answered for longer than
+// unresponsiveTimeout, so that the updates of others need not wait for it.
+func (p *Planner) isUnresponsive(now time.Duration, id string) bool {
 	e := p.engines[id]
-	return e != nil && e.silent > 0 && now-e.silent > giveUp
+	return e != nil && e.unresponsiveSince > 0 && now-e.unresponsiveSince > unresponsiveTimeout
 }
 
 func (p *Planner) advance(now time.Duration, t fleet.Target, wanted uint64) (Action, bool) {
 	e := p.engines[t.ID]
 	if e == nil {
-		// Marked by an earlier holder.
-		e = &progress{marked: now}
+		// A previous lease holder marked this engine.
+		e = &progress{updatingSince: now}
 		p.engines[t.ID] = e
 	}
-	if e.marked == 0 {
-		e.marked = now
+	if e.updatingSince == 0 {
+		e.updatingSince = now
 	}
-	reached := max(e.reached, t.Weights)
+	current := max(e.reportedWeights, t.Weights)
 	switch {
-	case reached >= wanted:
-		return Action{Step: Release, Target: t, Weights: reached}, true
-	case e.asked:
+	case current >= wanted:
+		return Action{Step: Release, Target: t, Weights: current}, true
+	case e.callInFlight:
 		return Action{}, false
 	case now >= p.ordersFrom && e.orderDue(now):
-		e.ordered, e.checked, e.asked = now, now, true
+		e.lastOrder, e.lastCheck, e.callInFlight = now, now, true
 		return Action{Step: Order, Target: t, Weights: wanted}, true
 	case e.checkDue(now):
-		e.checked, e.asked = now, true
+		e.lastCheck, e.callInFlight = now, true
 		return Action{Step: Check, Target: t, Weights: wanted}, true
 	}
 	return Action{}, false
 }
 
 func (e *progress) orderDue(now time.Duration) bool {
-	drained := e.idle || now-e.marked >= DrainWait
-	return e.known && e.silent == 0 && drained && (e.ordered == 0 || now-e.ordered >= retryPause)
+	drained := e.idle || now-e.updatingSince >= DrainWait
+	return e.reported && e.unresponsiveSince == 0 && drained && (e.lastOrder == 0 || now-e.lastOrder >= retryDelay)
 }
 
-// checkDue is true before the first order, because the order names the count of
-// orders that the engine has accepted.
+// checkDue reports whether a status report should be requested. One is needed
+// before the first order, because the order contains the number of orders that
+// the engine has accepted.
 func (e *progress) checkDue(now time.Duration) bool {
 	switch {
-	case e.silent > 0:
-		return now-e.checked >= retryPause
-	case !e.known:
+	case e.unresponsiveSince > 0:
+		return now-e.lastCheck >= retryDelay
+	case !e.reported:
 		return true
 	}
-	return now-e.checked >= checkInterval
+	return now-e.lastCheck >= checkInterval
 }
 
-// State is what an engine has said.
+// State is the state that an engine has reported.
 type State struct {
 	Weights uint64
-	// Busy means that it is carrying out an order, so that no other is due.
+	// Busy is true while the engine executes an order, so that no other is due.
 	Busy bool
-	// Requests is the number of requests that run or wait.
+	// Requests is the number of running and waiting requests.
 	Requests int
 }
 
-// Answered notes what an engine has said.
+// Answered records the state that an engine has reported.
 func (p *Planner) Answered(now time.Duration, id string, state State) {
 	e := p.engines[id]
 	if e == nil {
 		return
 	}
-	e.asked, e.known, e.silent = false, true, 0
-	e.reached = max(e.reached, state.Weights)
-	e.idle = state.Requests == 0 && now-e.marked >= Settle+reportLag
+	e.callInFlight, e.reported, e.unresponsiveSince = false, true, 0
+	e.reportedWeights = max(e.reportedWeights, state.Weights)
+	e.idle = state.Requests == 0 && now-e.updatingSince >= PropagationDelay+reportLag
 	if state.Busy {
-		e.ordered = now
+		e.lastOrder = now
 	}
 }
 
-// Silent notes that an engine did not answer.
+// Silent records that an engine did not answer a call.
 func (p *Planner) Silent(now time.Duration, id string) {
 	e := p.engines[id]
 	if e == nil {
 		return
 	}
-	e.asked = false
-	if e.silent == 0 {
-		e.silent = now
+	e.callInFlight = false
+	if e.unresponsiveSince == 0 {
+		e.unresponsiveSince = now
 	}
 }
 
-// Released forgets an engine whose mark was taken back.
+// Released removes the progress of an engine whose updating mark was cleared.
 func (p *Planner) Released(id string) { delete(p.engines, id) }
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -8,157 +8,159 @@
 	"github.com/cuminwing/cuminwing/internal/fleet"
 )
 
-// bench plays engines that carry out what a planner asks.
-type bench struct {
+// simulation simulates engines that execute the actions of a planner.
+type simulation struct {
 	now     time.Duration
 	planner *Planner
 	state   *fleet.State
-	// loading is when an engine finishes, orders the orders that it got.
-	loading map[string]time.Duration
-	orders  map[string]int
-	dark    map[string]bool
-	// most is the largest number of engines that were closed at once.
-	most int
+	// loadedAt is when an engine finishes loading, orders is the number of
+	// orders that it received.
+	loadedAt     map[string]time.Duration
+	orders       map[string]int
+	unresponsive map[string]bool
+	// maxUpdating is the highest number of engines that were updating at once.
+	maxUpdating int
 }
 
 const loadTime = 400 * time.Millisecond
 
-func newBench(engines int) *bench {
-	b := &bench{
-		planner: New(), state: fleet.NewState(), loading: make(map[string]time.Duration),
-		orders: make(map[string]int), dark: make(map[string]bool),
+func newSimulation(engines int) *simulation {
+	s := &simulation{
+		planner: New(), state: fleet.NewState(), loadedAt: make(map[string]time.Duration),
+		orders: make(map[string]int), unresponsive: make(map[string]bool),
 	}
 	for i := range engines {
 		id := fmt.Sprint("e", i)
-		b.state.Targets[id] = fleet.Target{ID: id, Service: "s", Model: "m", Weights: 1, Started: 1}
+		s.state.Targets[id] = fleet.Target{ID: id, Service: "s", Model: "m", Weights: 1, Started: 1}
 	}
-	return b
+	return s
 }
 
-func (b *bench) step(ordersFrom time.Duration) {
-	b.now += 50 * time.Millisecond
-	for id, at := range b.loading {
-		if b.now >= at {
-			delete(b.loading, id)
-			t := b.state.Targets[id]
-			t.Weights = b.state.Weights["m"]
-			b.state.Targets[id] = t
+func (s *simulation) step(ordersFrom time.Duration) {
+	s.now += 50 * time.Millisecond
+	for id, at := range s.loadedAt {
+		if s.now >= at {
+			delete(s.loadedAt, id)
+			t := s.state.Targets[id]
+			t.Weights = s.state.Weights["m"]
+			s.state.Targets[id] = t
 		}
 	}
-	for _, a := range b.planner.Plan(b.now, ordersFrom, b.state) {
-		b.carryOut(a)
+	for _, a := range s.planner.Plan(s.now, ordersFrom, s.state) {
+		s.execute(a)
 	}
-	closed := 0
-	for _, t := range b.state.Targets {
+	updating := 0
+	for _, t := range s.state.Targets {
 		if t.Updating {
-			closed++
+			updating++
 		}
 	}
-	b.most = max(b.most, closed)
+	s.maxUpdating = max(s.maxUpdating, updating)
 }
 
-func (b *bench) carryOut(a Action) {
-	t := b.state.Targets[a.Target.ID]
+func (s *simulation) execute(a Action) {
+	t := s.state.Targets[a.Target.ID]
 	switch a.Step {
 	case Mark:
 		t.Updating = true
 	case Release:
 		t.Updating = false
-		b.planner.Released(t.ID)
+		s.planner.Released(t.ID)
 	case Order, Check:
-		if b.dark[t.ID] {
-			b.planner.Silent(b.now, t.ID)
+		if s.unresponsive[t.ID] {
+			s.planner.Silent(s.now, t.ID)
 			return
 		}
 		if a.Step == Order {
-			b.orders[t.ID]++
-			b.loading[t.ID] = b.now + loadTime
+			s.orders[t.ID]++
+			s.loadedAt[t.ID] = s.now + loadTime
 		}
-		_, busy := b.loading[t.ID]
-		b.planner.Answered(b.now, t.ID, State{Weights: t.Weights, Busy: busy})
+		_, busy := s.loadedAt[t.ID]
+		s.planner.Answered(s.now, t.ID, State{Weights: t.Weights, Busy: busy})
 	}
-	b.state.Targets[t.ID] = t
+	s.state.Targets[t.ID] = t
 }
 
-func (b *bench) behind() int {
+func (s *simulation) outdated() int {
 	n := 0
-	for _, t := range b.state.Targets {
-		if t.Weights < b.state.Weights["m"] {
+	for _, t := range s.state.Targets {
+		if t.Weights < s.state.Weights["m"] {
 			n++
 		}
 	}
 	return n
 }
 
-// Guards against a service without engines during a roll-out, and against one
-// that takes longer than the 8 s after which old weights break a promise.
+// Guards against a rollout that leaves a service without serving engines, and
+// against one that takes longer than 8 s, the guaranteed limit for old weights.
 func TestRollOutLeavesTwoThirdsForTheTraffic(t *testing.T) {
 	for _, engines := range []int{1, 2, 9, 18, 60} {
-		b := newBench(engines)
-		b.state.Weights["m"] = 2
-		for b.behind() > 0 && b.now < 20*time.Second {
-			b.step(0)
+		s := newSimulation(engines)
+		s.state.Weights["m"] = 2
+		for s.outdated() > 0 && s.now < 20*time.Second {
+			s.step(0)
 		}
-		if b.now > 8*time.Second {
-			t.Errorf("%d engines took %v", engines, b.now)
+		if s.now > 8*time.Second {
+			t.Errorf("update of %d engines took %v", engines, s.now)
 		}
-		if b.most > max(minAtOnce, engines/fleetPart) {
-			t.Errorf("%d of %d engines were closed at once", b.most, engines)
+		if s.maxUpdating > max(minConcurrentUpdates, engines/concurrencyDivisor) {
+			t.Errorf("%d of %d engines were updating at once", s.maxUpdating, engines)
 		}
 	}
 }
 
 // Guards against engines that are never updated because versions follow each
-// other quickly and the roll-out starts again with the same engines.
+// other quickly and each rollout starts with the same engines.
 func TestNoEngineIsLeftBehindWhenVersionsFollowQuickly(t *testing.T) {
-	b := newBench(9)
+	s := newSimulation(9)
 	for version := uint64(2); version <= 6; version++ {
-		b.state.Weights["m"] = version
+		s.state.Weights["m"] = version
 		for range 64 {
-			b.step(0)
+			s.step(0)
 		}
-		for id, target := range b.state.Targets {
+		for id, target := range s.state.Targets {
 			if target.Weights+2 < version {
-				t.Errorf("version %d: %s still runs %d", version, id, target.Weights)
+				t.Errorf("version %d: engine %s still runs version %d", version, id, target.Weights)
 			}
 		}
 	}
 }
 
-// Guards against silent engines that hold up the others.
-func TestSilentEnginesDoNotHoldUpTheOthers(t *testing.T) {
-	b := newBench(9)
-	b.dark["e0"], b.dark["e1"], b.dark["e2"] = true, true, true
-	b.state.Weights["m"] = 2
-	for b.behind() > 3 && b.now < 20*time.Second {
-		b.step(0)
+// Guards against unresponsive engines that block the update of the others.
+func TestUnresponsiveEnginesDoNotBlockOthers(t *testing.T) {
+	s := newSimulation(9)
+	s.unresponsive["e0"], s.unresponsive["e1"], s.unresponsive["e2"] = true, true, true
+	s.state.Weights["m"] = 2
+	for s.outdated() > 3 && s.now < 20*time.Second {
+		s.step(0)
 	}
-	if b.now > 8*time.Second {
-		t.Errorf("six of nine engines took %v", b.now)
+	if s.now > 8*time.Second {
+		t.Errorf("update of six of nine engines took %v", s.now)
 	}
-	b.dark = map[string]bool{}
-	back := b.now
-	for b.behind() > 0 && b.now < back+20*time.Second {
-		b.step(0)
+	s.unresponsive = map[string]bool{}
+	recoveredAt := s.now
+	for s.outdated() > 0 && s.now < recoveredAt+20*time.Second {
+		s.step(0)
 	}
-	if b.now-back > 4*time.Second {
-		t.Errorf("engines that are back took %v", b.now-back)
+	if s.now-recoveredAt > 4*time.Second {
+		t.Errorf("update of the recovered engines took %v", s.now-recoveredAt)
 	}
 }
 
-// Guards against an order that crosses one of the holder before.
+// Guards against an order that overlaps with an order of the previous lease
+// holder.
 func TestNoOrderIsGivenBeforeTheLeaseOfTheHolderBeforeHasEnded(t *testing.T) {
-	b := newBench(9)
-	b.state.Weights["m"] = 2
+	s := newSimulation(9)
+	s.state.Weights["m"] = 2
 	const ordersFrom = 3 * time.Second
-	for b.now < ordersFrom-50*time.Millisecond {
-		b.step(ordersFrom)
+	for s.now < ordersFrom-50*time.Millisecond {
+		s.step(ordersFrom)
 	}
-	if len(b.orders) > 0 {
-		t.Fatalf("orders were given to %v", b.orders)
+	if len(s.orders) > 0 {
+		t.Fatalf("orders were issued before the previous lease ended: %v", s.orders)
 	}
-	b.step(ordersFrom)
-	if len(b.orders) != 3 {
-		t.Errorf("%d engines were ordered at the end of the lease, want the 3 that have drained", len(b.orders))
+	s.step(ordersFrom)
+	if len(s.orders) != 3 {
+		t.Errorf("%d engines were ordered when the previous lease ended, want the 3 that have drained", len(s.orders))
 	}
 }
