--- a/internal/idempotency/client.go
+++ b/internal/idempotency/client.go
@@ -15,42 +15,42 @@
 )
 
 const (
-	// claimWait bounds how long a request waits for its claim.
-	claimWait = 5 * time.Second
-	// settleWait is how long the client goes on trying to record an outcome.
-	// It covers an election and a restart of a voter.
-	settleWait = time.Minute
-	// firstPause and maxPause bound the pause between two tries.
-	firstPause = 5 * time.Millisecond
-	maxPause   = time.Second
+	// claimTimeout is the maximum time that a request waits for its claim.
+	claimTimeout = 5 * time.Second
+	// settleTimeout is how long the client retries in the background to record
+	// an outcome. It covers an election and a restart of a voter.
+	settleTimeout = time.Minute
+	// initialBackoff and maxBackoff limit the time between two attempts.
+	initialBackoff = 5 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// Client implements serving.Claims over the control log.
+// Client implements serving.Claims on the control log.
 type Client struct {
-	// Log returns the control log; nil while there is none.
+	// Log returns the control log, or nil while there is none.
 	Log func() control.Log
-	// Pause waits before another try. It reports false if ctx ended.
+	// Pause waits for d before a retry. It reports false if ctx is done first.
 	Pause func(ctx context.Context, d time.Duration) bool
-	// Background runs f until it returns or the VM stops.
+	// Background runs f in the background. Its context ends when the VM stops.
 	Background func(f func(ctx context.Context))
 }
 
 var _ serving.Claims = (*Client)(nil)
 
 var (
-	errNoLog   = errors.New("there is no control log")
-	errRefused = errors.New("the record belongs to another request")
+	errNoLog   = errors.New("control log is not available")
+	errRefused = errors.New("at-most-once record belongs to another request")
 )
 
-// Claim implements serving.Claims. If the answer of the log is lost, it asks
-// again under the same request ID, which reads the claim back if it was
-// committed.
+// Claim implements serving.Claims. If the answer of the log is lost, it proposes
+// the claim again with the same request ID, which returns the existing claim if it
+// was committed.
 func (c *Client) Claim(ctx context.Context, claim serving.Claim) (serving.ClaimStatus, serving.StoredAnswer) {
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	body := encodeClaim(claim)
 	uncertain := false
-	for pause := firstPause; ; pause = min(2*pause, maxPause) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		result, err := c.propose(ctx, body)
 		if err == nil {
 			if status, known := claimStatus(result.GetOutcome()); known {
@@ -62,18 +62,18 @@
 			return serving.ClaimUnreachable, serving.StoredAnswer{}
 		}
 		uncertain = true
-		if !c.Pause(ctx, pause) {
-			c.giveUp(claim)
+		if !c.Pause(ctx, backoff) {
+			c.abandon(claim)
 			return serving.ClaimUncertain, serving.StoredAnswer{}
 		}
 	}
 }
 
-// giveUp withdraws a claim that may have been committed, so that a resend can
-// run. The request itself must not dispatch any more.
-func (c *Client) giveUp(claim serving.Claim) {
+// abandon releases, in the background, a claim that may have been committed, so
+// that a resend can run. The request itself must not be dispatched afterwards.
+func (c *Client) abandon(claim serving.Claim) {
 	if body, err := proto.Marshal(releaseCommand(claim)); err == nil {
-		c.settleLater(body)
+		c.settleInBackground(body)
 	}
 }
 
@@ -91,8 +91,8 @@
 	return serving.ClaimUncertain, false
 }
 
-// Complete implements serving.Claims. If ctx ends first, it goes on in the
-// background: until the outcome is recorded, resends are told "unknown".
+// Complete implements serving.Claims. If ctx ends first, it continues in the
+// background, because resends get "unknown" until the outcome is recorded.
 func (c *Client) Complete(ctx context.Context, claim serving.Claim, answer serving.StoredAnswer) error {
 	return c.settle(ctx, &claimsv1.Command{Body: &claimsv1.Command_Complete{Complete: &claimsv1.Complete{
 		Record:    recordName(claim),
@@ -106,8 +106,8 @@
 	}}})
 }
 
-// Release implements serving.Claims. It goes on in the background like
-// Complete.
+// Release implements serving.Claims. If ctx ends first, it continues in the
+// background like Complete.
 func (c *Client) Release(ctx context.Context, claim serving.Claim) error {
 	return c.settle(ctx, releaseCommand(claim))
 }
@@ -125,25 +125,26 @@
 	if err != nil {
 		return err
 	}
-	err = c.settleUntil(ctx, body)
+	err = c.proposeUntilCommitted(ctx, body)
 	if err != nil && !errors.Is(err, errRefused) {
-		c.settleLater(body)
+		c.settleInBackground(body)
 	}
 	return err
 }
 
-func (c *Client) settleLater(body []byte) {
+func (c *Client) settleInBackground(body []byte) {
 	c.Background(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, settleWait)
+		ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 		defer cancel()
-		_ = c.settleUntil(ctx, body)
+		_ = c.proposeUntilCommitted(ctx, body)
 	})
 }
 
-// settleUntil proposes until the command is committed. Both commands have the
-// same effect when they are committed twice.
-func (c *Client) settleUntil(ctx context.Context, body []byte) error {
-	for pause := firstPause; ; pause = min(2*pause, maxPause) {
+// proposeUntilCommitted retries the proposal until the command is committed or
+// ctx ends. The retries are safe because Complete and Release commands are
+// idempotent.
+func (c *Client) proposeUntilCommitted(ctx context.Context, body []byte) error {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		result, err := c.propose(ctx, body)
 		if err == nil && result.GetOutcome() != claimsv1.Outcome_OUTCOME_ACCEPTED {
 			return errRefused
@@ -151,7 +152,7 @@
 		if err == nil {
 			return nil
 		}
-		if !c.Pause(ctx, pause) {
+		if !c.Pause(ctx, backoff) {
 			return err
 		}
 	}
@@ -174,8 +175,8 @@
 }
 
 func encodeClaim(claim serving.Claim) []byte {
-	// The message has no field that can fail to encode but the request ID,
-	// which is hexadecimal.
+	// Encoding fails only on invalid UTF-8. The only string field is the request
+	// ID, which is hexadecimal.
 	body, _ := proto.Marshal(&claimsv1.Command{Body: &claimsv1.Command_Claim{Claim: &claimsv1.Claim{
 		Record:      recordName(claim),
 		BodyHash:    claim.BodyHash[:],
@@ -185,8 +186,8 @@
 	return body
 }
 
-// recordName hashes workspace and key, so that the log holds no text of
-// callers.
+// recordName returns a hash of the workspace and the idempotency key, so that the
+// log contains no caller-supplied text.
 func recordName(claim serving.Claim) []byte {
 	h := sha256.New()
 	_, _ = h.Write([]byte(claim.Workspace))
--- a/internal/idempotency/part_test.go
+++ b/internal/idempotency/part_test.go
@@ -36,9 +36,9 @@
 	p.Apply(index, time.UnixMilli(0), data)
 }
 
-// Guards against records that are dropped early, kept for good, or reused for
-// another request.
-func TestRecordLife(t *testing.T) {
+// Guards against records that are removed before they expire, never removed, or
+// reused for another request.
+func TestRecordLifecycle(t *testing.T) {
 	p := NewPart()
 	start := time.UnixMilli(1000)
 	first := claimBy("r1", "k", 1)
@@ -55,16 +55,16 @@
 		{claimBy("r5", "k", 1), start.Add(time.Hour), claimsv1.Outcome_OUTCOME_GRANTED},
 	} {
 		if got := applyClaim(t, p, step.at, step.claim).GetOutcome(); got != step.want {
-			t.Errorf("%s: %s, want %s", step.claim.RequestID, got, step.want)
+			t.Errorf("claim of %s: outcome %s, want %s", step.claim.RequestID, got, step.want)
 		}
 	}
 	if p.Len() != 1 {
-		t.Errorf("%d records", p.Len())
+		t.Errorf("%d records, want 1", p.Len())
 	}
 }
 
-// Guards against a voter that runs out of memory on stored answers, and
-// against voters that differ after a snapshot.
+// Guards against a voter that runs out of memory because of stored answers, and
+// against a voter whose state differs after it is restored from a snapshot.
 func TestStoredBodiesAreBounded(t *testing.T) {
 	p := NewPart()
 	p.maxStored = 100
@@ -83,12 +83,12 @@
 		oldest := applyClaim(t, part, now, claimBy("x", "a", 1))
 		newest := applyClaim(t, part, now, claimBy("x", "c", 1))
 		if !oldest.GetAnswer().GetTruncated() || len(newest.GetAnswer().GetBody()) != 40 || part.storedBytes != 80 {
-			t.Errorf("oldest %v, newest %v, %d bytes", oldest, newest, part.storedBytes)
+			t.Errorf("oldest answer %v, newest answer %v, %d bytes stored", oldest, newest, part.storedBytes)
 		}
 	}
 }
 
-// Guards against panics on commands and snapshots that are damaged.
+// Guards against panics on corrupt commands and snapshots.
 func FuzzApply(f *testing.F) {
 	f.Add(encodeClaim(claimBy("r", "k", 1)))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/idempotency/schedule_test.go
+++ b/internal/idempotency/schedule_test.go
@@ -19,56 +19,57 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// errCrash stands for the loss of the VM that runs a request.
+// errCrash is the panic value that simulates a crash of the VM that runs a
+// request.
 var errCrash = errors.New("VM crashed")
 
-// world is one schedule: two VMs, one log, one service, and requests under one
-// key that fail, crash and are resent at any point.
-type world struct {
+// simulation runs one random schedule of two VMs, one control log, one service,
+// and requests with the same key that fail, crash and are resent at any point.
+type simulation struct {
 	t          *rapid.T
 	machine    *control.Machine
 	index      uint64
 	now        time.Time
-	late       [][]byte
+	delayed    [][]byte
 	background []func(context.Context)
 	services   []*serving.Service
-	depth      int
+	nesting    int
 	requests   int
-	executed   map[string]int
+	executions map[string]int
 }
 
-func (w *world) chance(name string, percent int) bool {
-	return rapid.IntRange(1, 100).Draw(w.t, name) <= percent
+func (s *simulation) chance(name string, percent int) bool {
+	return rapid.IntRange(1, 100).Draw(s.t, name) <= percent
 }
 
-// yield lets something else happen: a late command, a background task, a
-// restored snapshot or a whole other request.
-func (w *world) yield() {
-	if len(w.late) > 0 && w.chance("late command arrives", 30) {
-		w.apply(w.late[0])
-		w.late = w.late[1:]
+// interleave may run a concurrent event: a delayed command, a background task, a
+// voter restart or another complete request.
+func (s *simulation) interleave() {
+	if len(s.delayed) > 0 && s.chance("delayed command arrives", 30) {
+		s.apply(s.delayed[0])
+		s.delayed = s.delayed[1:]
 	}
-	if len(w.background) > 0 && w.chance("background task runs", 30) {
-		task := w.background[0]
-		w.background = w.background[1:]
-		w.protect(func() { task(context.Background()) })
+	if len(s.background) > 0 && s.chance("background task runs", 30) {
+		task := s.background[0]
+		s.background = s.background[1:]
+		s.recoverCrash(func() { task(context.Background()) })
 	}
-	if w.chance("voter restarts", 10) {
-		w.restore()
+	if s.chance("voter restarts", 10) {
+		s.restore()
 	}
-	if w.depth < 3 && w.chance("resend", 25) {
-		w.request()
+	if s.nesting < 3 && s.chance("resend", 25) {
+		s.request()
 	}
 }
 
-func (w *world) restore() {
-	data, err := w.machine.Snapshot()
+func (s *simulation) restore() {
+	data, err := s.machine.Snapshot()
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.machine = newMachine()
-	if err := w.machine.Restore(data); err != nil {
-		w.t.Fatal(err)
+	s.machine = newMachine()
+	if err := s.machine.Restore(data); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
@@ -76,18 +77,18 @@
 	return control.NewMachine(map[control.Kind]control.Part{control.KindClaims: NewPart()})
 }
 
-func (w *world) apply(body []byte) []byte {
-	w.index++
-	w.now = w.now.Add(time.Millisecond)
-	answer, err := w.machine.Apply(w.index, control.EncodeCommand(control.KindClaims, w.now, body))
+func (s *simulation) apply(body []byte) []byte {
+	s.index++
+	s.now = s.now.Add(time.Millisecond)
+	answer, err := s.machine.Apply(s.index, control.EncodeCommand(control.KindClaims, s.now, body))
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return answer
 }
 
-// protect runs f and swallows a crash.
-func (w *world) protect(f func()) {
+// recoverCrash runs f and recovers from a simulated crash.
+func (s *simulation) recoverCrash(f func()) {
 	defer func() {
 		if r := recover(); r != nil && r != any(errCrash) {
 			panic(r)
@@ -96,147 +97,147 @@
 	f()
 }
 
-// worldLog is the control log as one VM sees it.
-type worldLog struct {
+// simulatedLog is the control log as seen by one VM.
+type simulatedLog struct {
 	control.Log
-	*world
+	*simulation
 }
 
 // Propose implements control.Log.
-func (w worldLog) Propose(_ context.Context, _ control.Kind, body []byte) ([]byte, error) {
-	w.yield()
+func (s simulatedLog) Propose(_ context.Context, _ control.Kind, body []byte) ([]byte, error) {
+	s.interleave()
 	switch {
-	case w.chance("partition", 15):
+	case s.chance("partition", 15):
 		return nil, control.ErrNotCommitted
-	case w.chance("command delayed", 15):
-		w.late = append(w.late, bytes.Clone(body))
+	case s.chance("command delayed", 15):
+		s.delayed = append(s.delayed, bytes.Clone(body))
 		return nil, control.ErrUncertain
 	}
-	answer := w.apply(body)
-	if w.chance("answer lost", 15) {
+	answer := s.apply(body)
+	if s.chance("answer lost", 15) {
 		return nil, control.ErrUncertain
 	}
-	w.yield()
-	if w.chance("crash after commit", 10) {
+	s.interleave()
+	if s.chance("crash after commit", 10) {
 		panic(errCrash)
 	}
 	return answer, nil
 }
 
 // Do implements serving.Services.
-func (w *world) Do(_ context.Context, _ *target.Target, call *serving.Call, _ serving.ServiceRequest) (*serving.ServiceAnswer, error) {
-	w.yield()
-	if w.chance("dial refused", 20) {
+func (s *simulation) Do(_ context.Context, _ *target.Target, call *serving.Call, _ serving.ServiceRequest) (*serving.ServiceAnswer, error) {
+	s.interleave()
+	if s.chance("dial refused", 20) {
 		return nil, &serving.DialError{Err: errors.New("refused")}
 	}
-	w.executed[call.ID]++
-	w.yield()
-	if w.chance("crash after dispatch", 10) {
+	s.executions[call.ID]++
+	s.interleave()
+	if s.chance("crash after dispatch", 10) {
 		panic(errCrash)
 	}
-	if w.chance("connection lost", 15) {
+	if s.chance("connection lost", 15) {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return &serving.ServiceAnswer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done by " + call.ID))}, nil
 }
 
 // Pick implements serving.Picker.
-func (w *world) Pick(context.Context, serving.PickRequest) (*serving.Pick, *serving.Refusal) {
+func (s *simulation) Pick(context.Context, serving.PickRequest) (*serving.Pick, *serving.Refusal) {
 	return &serving.Pick{Target: &target.Target{}, Done: func(serving.AttemptResult) {}}, nil
 }
 
-// The other ports have nothing to do with claims.
+// The remaining methods implement interfaces that do not involve claims.
 
-func (w *world) Admit(context.Context, *config.Snapshot, string, int64, time.Duration) (serving.Reservation, *serving.Refusal) {
-	return w, nil
+func (s *simulation) Admit(context.Context, *config.Snapshot, string, int64, time.Duration) (serving.Reservation, *serving.Refusal) {
+	return s, nil
 }
-func (w *world) Settle(int64) {}
-func (w *world) Acquire(context.Context, serving.QueueRequest) (serving.Slot, *serving.Refusal) {
+func (s *simulation) Settle(int64) {}
+func (s *simulation) Acquire(context.Context, serving.QueueRequest) (serving.Slot, *serving.Refusal) {
 	return freeSlot{}, nil
 }
-func (w *world) Allow(string, string) bool    { return true }
-func (w *world) Finished(string, string)      {}
-func (w *world) Observe(serving.Sample)       {}
-func (w *world) Record(_ serving.UsageRecord) {}
+func (s *simulation) Allow(string, string) bool    { return true }
+func (s *simulation) Finished(string, string)      {}
+func (s *simulation) Observe(serving.Sample)       {}
+func (s *simulation) Record(_ serving.UsageRecord) {}
 
-func (w *world) newVM() *serving.Service {
+func (s *simulation) newVM() *serving.Service {
 	client := &Client{
-		Log:        func() control.Log { return worldLog{world: w} },
-		Pause:      func(context.Context, time.Duration) bool { return w.chance("tries again", 70) },
-		Background: func(f func(context.Context)) { w.background = append(w.background, f) },
+		Log:        func() control.Log { return simulatedLog{simulation: s} },
+		Pause:      func(context.Context, time.Duration) bool { return s.chance("retry", 70) },
+		Background: func(f func(context.Context)) { s.background = append(s.background, f) },
 	}
-	return &serving.Service{Clock: time.Now, Limiter: w, Queue: w, Claims: client, Picker: w, Retries: w, Services: w, Ledger: w, Observer: w}
+	return &serving.Service{Clock: time.Now, Limiter: s, Queue: s, Claims: client, Picker: s, Retries: s, Services: s, Ledger: s, Observer: s}
 }
 
-// answered is a ServiceSink.
-type answered struct {
+// responseSink is a serving.ServiceSink that records the response.
+type responseSink struct {
 	status int
 	body   []byte
 }
 
-func (a *answered) Begin(status int, _ http.Header) { a.status = status }
+func (a *responseSink) Begin(status int, _ http.Header) { a.status = status }
 
-func (a *answered) Write(p []byte) (int, error) {
+func (a *responseSink) Write(p []byte) (int, error) {
 	a.body = append(a.body, p...)
 	return len(p), nil
 }
 
-// request sends the one request of the schedule through one of the VMs.
-func (w *world) request() {
-	w.depth++
-	defer func() { w.depth-- }()
-	w.requests++
+// request sends the request, or a resend of it, through one of the VMs.
+func (s *simulation) request() {
+	s.nesting++
+	defer func() { s.nesting-- }()
+	s.requests++
 	call := &serving.Call{
-		ID: fmt.Sprintf("r%d", w.requests), Workspace: "yards", IdempotencyKey: "key", Deadline: time.Now().Add(time.Hour),
+		ID: fmt.Sprintf("r%d", s.requests), Workspace: "yards", IdempotencyKey: "key", Deadline: time.Now().Add(time.Hour),
 		Route:    config.Route{Kind: config.KindService, Run: config.RunAtMostOnce, MaxAttempts: 3},
 		Snapshot: config.NewSnapshot(config.Document{}, 1),
 	}
-	vm := w.services[rapid.IntRange(0, 1).Draw(w.t, "vm")]
-	w.protect(func() {
-		sink := &answered{}
+	vm := s.services[rapid.IntRange(0, 1).Draw(s.t, "vm")]
+	s.recoverCrash(func() {
+		sink := &responseSink{}
 		outcome := vm.Forward(context.Background(), call, serving.ServiceRequest{Buffered: true}, sink)
-		w.check(call, sink, outcome.Refusal)
+		s.checkAnswer(call, sink, outcome.Refusal)
 	})
 }
 
-func (w *world) check(call *serving.Call, sink *answered, refusal *serving.Refusal) {
-	if refusal != nil && refusal.Run == serving.NotRun && w.executed[call.ID] != 0 {
-		w.t.Fatalf("%s was answered %q as not-run but ran", call.ID, refusal.Code)
+func (s *simulation) checkAnswer(call *serving.Call, sink *responseSink, refusal *serving.Refusal) {
+	if refusal != nil && refusal.Run == serving.NotRun && s.executions[call.ID] != 0 {
+		s.t.Fatalf("request %s was refused with %q as not-run but ran", call.ID, refusal.Code)
 	}
 	if refusal != nil {
 		return
 	}
-	for id := range w.executed {
+	for id := range s.executions {
 		if string(sink.body) != "done by "+id {
-			w.t.Fatalf("%s was answered %q, the execution was by %s", call.ID, sink.body, id)
+			s.t.Fatalf("request %s was answered %q, but request %s was executed", call.ID, sink.body, id)
 		}
 	}
 }
 
-func (w *world) total() int {
+func (s *simulation) totalExecutions() int {
 	n := 0
-	for _, times := range w.executed {
+	for _, times := range s.executions {
 		n += times
 	}
 	return n
 }
 
-// Guards against an order that runs twice, and against a resend that is told
-// not-run or another answer although the order ran.
+// Guards against a request that runs twice, and against a resend that is answered
+// with not-run or with another answer although the request has run.
 func TestExecutionsPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, machine: newMachine(), now: time.UnixMilli(1), executed: make(map[string]int)}
-		w.services = []*serving.Service{w.newVM(), w.newVM()}
+		s := &simulation{t: t, machine: newMachine(), now: time.UnixMilli(1), executions: make(map[string]int)}
+		s.services = []*serving.Service{s.newVM(), s.newVM()}
 		for range rapid.IntRange(1, 6).Draw(t, "requests") {
-			w.request()
-			if w.total() > 1 {
-				t.Fatalf("%d executions: %v", w.total(), w.executed)
+			s.request()
+			if s.totalExecutions() > 1 {
+				t.Fatalf("%d executions, want at most 1: %v", s.totalExecutions(), s.executions)
 			}
 		}
 	})
 }
 
-// freeSlot is the turn of a queue without limits.
+// freeSlot is the slot of a queue without limits.
 type freeSlot struct{}
 
 func (freeSlot) FirstToken()      {}
--- a/internal/idempotency/seed_test.go
+++ b/internal/idempotency/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // defines the flag
 )
 
-// CI must give the same verdict every time. A longer run takes another seed
-// with -rapid.seed and more schedules with -rapid.checks.
+// A fixed seed makes CI runs reproducible. For longer runs, set another seed with
+// -rapid.seed and more schedules with -rapid.checks.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
