--- a/internal/control/keyset/part.go
+++ b/internal/control/keyset/part.go
@@ -1,5 +1,5 @@
-// Package keyset holds the withdrawn keys as a replicated, grow-only set. The
-// package does no I/O.
+// Package keyset implements the replicated, grow-only set of withdrawn API
+// keys. The package does no I/O.
 package keyset
 
 import (
@@ -14,38 +14,39 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Part is the withdrawn-keys part of the replicated state. Contains may be
-// called by any goroutine.
+// Part is the replicated set of withdrawn keys. Any goroutine may call
+// Contains.
 type Part struct {
-	added func([]keys.Hash)
+	onAdd func([]keys.Hash)
 
 	mu  sync.RWMutex
 	set map[keys.Hash]struct{}
 }
 
-// NewPart returns an empty part. It calls added with the keys of each command
-// and of each restored state.
-func NewPart(added func([]keys.Hash)) *Part {
-	return &Part{added: added, set: make(map[keys.Hash]struct{})}
+// NewPart returns an empty set. It calls onAdd with the hashes of each command
+// and of each restored snapshot.
+func NewPart(onAdd func([]keys.Hash)) *Part {
+	return &Part{onAdd: onAdd, set: make(map[keys.Hash]struct{})}
 }
 
-// EncodeWithdrawal returns the command that withdraws hashes.
+// EncodeWithdrawal returns the command that withdraws the keys with the given
+// hashes.
 func EncodeWithdrawal(hashes []keys.Hash) []byte {
-	// A message of this package's own making always encodes.
+	// Marshal does not fail on a message built by this package.
 	data, _ := proto.Marshal(&keysv1.Withdrawal{Hashes: ToBytes(hashes)})
 	return data
 }
 
-// DecodeWithdrawal returns the hashes of a command or of an encoded state.
+// DecodeWithdrawal returns the hashes in a command or a snapshot.
 func DecodeWithdrawal(data []byte) ([]keys.Hash, error) {
 	var message keysv1.Withdrawal
 	if err := proto.Unmarshal(data, &message); err != nil {
-		return nil, fmt.Errorf("decode withdrawal: %w", err)
+		return nil, fmt.Errorf("decode key withdrawal: %w", err)
 	}
 	return FromBytes(message.GetHashes())
 }
 
-// ToBytes returns hashes in their wire form.
+// ToBytes converts hashes to their wire format.
 func ToBytes(hashes []keys.Hash) [][]byte {
 	out := make([][]byte, len(hashes))
 	for i := range hashes {
@@ -54,7 +55,7 @@
 	return out
 }
 
-// FromBytes returns hashes from their wire form.
+// FromBytes converts hashes from their wire format.
 func FromBytes(raw [][]byte) ([]keys.Hash, error) {
 	out := make([]keys.Hash, len(raw))
 	for i, b := range raw {
@@ -66,12 +67,12 @@
 	return out, nil
 }
 
-// Apply implements control.Part. The answer is empty.
+// Apply implements control.Part. The response is empty.
 func (p *Part) Apply(_ uint64, _ time.Time, body []byte) []byte {
 	hashes, err := DecodeWithdrawal(body)
 	if err != nil {
-		// The command cannot have come from EncodeWithdrawal; it changes
-		// nothing on any voter.
+		// EncodeWithdrawal never produces such a command. Every voter ignores
+		// it, so the replicas stay identical.
 		return nil
 	}
 	p.add(hashes)
@@ -84,10 +85,11 @@
 		p.set[h] = struct{}{}
 	}
 	p.mu.Unlock()
-	p.added(hashes)
+	p.onAdd(hashes)
 }
 
-// Contains reports whether the log has committed the withdrawal of h.
+// Contains reports whether the withdrawal of the key with hash h is committed
+// and applied.
 func (p *Part) Contains(h keys.Hash) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -107,8 +109,8 @@
 	return EncodeWithdrawal(hashes), nil
 }
 
-// Restore implements control.Part. The set only grows, so keys that are known
-// already stay.
+// Restore implements control.Part. Because the set only grows, Restore adds to
+// it and keeps the keys that it already contains.
 func (p *Part) Restore(data []byte) error {
 	hashes, err := DecodeWithdrawal(data)
 	if err != nil {
--- a/internal/control/keyset/part_test.go
+++ b/internal/control/keyset/part_test.go
@@ -7,7 +7,7 @@
 	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
-// Guards against a withdrawal being lost by a snapshot and a restore.
+// Guards against losing a withdrawal when a snapshot is taken and restored.
 func TestWithdrawalsSurviveSnapshot(t *testing.T) {
 	withdrawn := keys.NewWithdrawn()
 	p := NewPart(func(h []keys.Hash) { withdrawn.Add(h...) })
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if !restored.Contains(h) || !withdrawn.Contains(h) {
-		t.Fatal("the withdrawn key is unknown after a restore")
+		t.Fatal("the withdrawn key is missing after the restore")
 	}
 }
 
@@ -35,7 +35,7 @@
 		}
 		again, err := DecodeWithdrawal(EncodeWithdrawal(hashes))
 		if err != nil || len(again) != len(hashes) {
-			t.Fatalf("%d hashes became %d: %v", len(hashes), len(again), err)
+			t.Fatalf("re-encoding %d hashes decoded to %d: %v", len(hashes), len(again), err)
 		}
 	})
 }
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -1,6 +1,6 @@
-// Package control holds the state machine that the control log replicates and
-// the port through which the rest of a VM uses that log. The package does no
-// I/O.
+// Package control defines the control log, a replicated command log: the
+// interface through which a VM uses it, and the state machine to which its
+// commands are applied. The package does no I/O.
 package control
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind selects the part of the state machine that a command is for.
+// Kind selects the Part that a command is applied to.
 type Kind uint8
 
-// The parts of the state machine. The numbers stand in files on disk and must
+// Kinds of commands. The numbers are stored in log and snapshot files and must
 // not change.
 const (
 	KindConfig Kind = 1
@@ -20,31 +20,34 @@
 	KindClaims Kind = 3
 	KindUsage  Kind = 4
 	KindOrders Kind = 5
-	// KindDocument is the document of a gateway, KindFleet its targets.
+	// KindDocument is for the configuration document of a gateway, and
+	// KindFleet for its targets.
 	KindDocument Kind = 6
 	KindFleet    Kind = 7
 )
 
 // Errors of Log.Propose.
 var (
-	// ErrNotCommitted means that the command has not been and will not be
-	// committed.
+	// ErrNotCommitted means that the command was not committed and never will
+	// be.
 	ErrNotCommitted = errors.New("control log: command was not committed")
-	// ErrUncertain means that the command may or may not be committed.
+	// ErrUncertain means that the command may have been committed, or may be
+	// committed later.
 	ErrUncertain = errors.New("control log: outcome of the command is unknown")
 )
 
-// Log is the control log as seen from any VM. A VM that is not a voter
-// forwards to the voters.
+// Log gives any VM access to the control log. A VM that is not a voter
+// forwards its calls to the voters.
 type Log interface {
-	// Propose commits a command and returns the answer of the state machine.
-	// The error is ErrNotCommitted or ErrUncertain, possibly wrapped.
+	// Propose commits a command and returns the response of the state machine.
+	// Every error wraps ErrNotCommitted or ErrUncertain.
 	Propose(ctx context.Context, kind Kind, body []byte) ([]byte, error)
-	// Barrier returns once this VM's state machine, or that of the voter it
-	// reads from, contains every command committed before the call.
+	// Barrier blocks until every command committed before the call is applied
+	// to the state machine of this VM, or to that of the voter it reads from.
+	// The returned log index covers all those commands.
 	Barrier(ctx context.Context) (index uint64, err error)
-	// Leader returns the VM that leads, if known.
+	// Leader returns the VM that leads the control log, if known.
 	Leader() (vm string, ok bool)
-	// HoldsLease reports whether this VM leads and its lease holds now.
+	// HoldsLease reports whether this VM leads and its lease has not expired.
 	HoldsLease() bool
 }
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -10,42 +10,43 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Format versions of commands and snapshots.
+// Format versions of encoded commands and snapshots.
 const (
 	commandVersion  = 1
 	snapshotVersion = 1
 )
 
-// commandHeaderBytes is version, kind and time.
+// commandHeaderBytes is the size of a command's version, kind and timestamp.
 const commandHeaderBytes = 1 + 1 + 8
 
-// Part is one part of the replicated state. Its methods must be
-// deterministic: the same calls give the same state on every voter.
+// Part is the state machine for one kind of command. Its methods must be
+// deterministic: the same calls must produce the same state on every voter.
 type Part interface {
-	// Apply executes one command at log position index. Now never decreases
-	// from one command to the next.
+	// Apply executes the command at the given log index and returns the
+	// response. Now never decreases from one command to the next.
 	Apply(index uint64, now time.Time, body []byte) []byte
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by an encoded one.
+	// Restore replaces the state with an encoded one.
 	Restore(data []byte) error
 }
 
-// Machine dispatches commands to parts. It is not safe for concurrent use;
-// the goroutine that applies the log owns it.
+// Machine is the replicated state machine. It dispatches each command to the
+// Part for its kind. It is not safe for concurrent use; only the goroutine that
+// applies the log may call it.
 type Machine struct {
 	parts map[Kind]Part
 	now   int64
 	index uint64
 }
 
-// NewMachine returns a machine with the given parts.
+// NewMachine returns a Machine that consists of the given parts.
 func NewMachine(parts map[Kind]Part) *Machine {
 	return &Machine{parts: parts}
 }
 
-// EncodeCommand frames a command. The leader stamps its time, so that every
-// voter expires records at the same log position.
+// EncodeCommand prepends the command header to body. The header carries the
+// leader's time, so that every voter expires records at the same log index.
 func EncodeCommand(kind Kind, now time.Time, body []byte) []byte {
 	buf := make([]byte, commandHeaderBytes, commandHeaderBytes+len(body))
 	buf[0] = commandVersion
@@ -54,26 +55,28 @@
 	return append(buf, body...)
 }
 
-// Apply executes one framed command and returns the answer of its part.
+// Apply executes a command encoded by EncodeCommand and returns the response
+// of its Part.
 func (m *Machine) Apply(index uint64, command []byte) ([]byte, error) {
 	m.index = index
 	if len(command) < commandHeaderBytes {
-		return nil, fmt.Errorf("command at index %d has %d bytes", index, len(command))
+		return nil, fmt.Errorf("command at index %d is truncated: it has %d bytes, fewer than a command header", index, len(command))
 	}
 	if command[0] != commandVersion {
-		return nil, fmt.Errorf("command at index %d has format version %d", index, command[0])
+		return nil, fmt.Errorf("command at index %d has unsupported format version %d", index, command[0])
 	}
 	part, ok := m.parts[Kind(command[1])]
 	if !ok {
-		return nil, fmt.Errorf("command at index %d is for unknown part %d", index, command[1])
+		return nil, fmt.Errorf("command at index %d has unknown kind %d", index, command[1])
 	}
-	stamp := int64(binary.LittleEndian.Uint64(command[2:]))
-	// A new leader's clock may be behind; time must not run backwards.
-	m.now = max(m.now, stamp)
+	timestamp := int64(binary.LittleEndian.Uint64(command[2:]))
+	// The clock of a new leader may be behind that of its predecessor, but
+	// the time passed to a Part must never decrease.
+	m.now = max(m.now, timestamp)
 	return part.Apply(index, time.UnixMilli(m.now), command[commandHeaderBytes:]), nil
 }
 
-// Index returns the log position of the last command.
+// Index returns the log index of the last command passed to Apply.
 func (m *Machine) Index() uint64 { return m.index }
 
 // Snapshot encodes the state of all parts.
@@ -89,7 +92,7 @@
 	for _, k := range kinds {
 		data, err := m.parts[k].Snapshot()
 		if err != nil {
-			return nil, fmt.Errorf("snapshot of part %d: %w", k, err)
+			return nil, fmt.Errorf("encode the state for commands of kind %d: %w", k, err)
 		}
 		buf = protowire.AppendVarint(buf, uint64(k))
 		buf = protowire.AppendBytes(buf, data)
@@ -97,25 +100,25 @@
 	return buf, nil
 }
 
-var errShortSnapshot = errors.New("snapshot is truncated")
+var errTruncatedSnapshot = errors.New("state machine snapshot is truncated")
 
-// Restore replaces the state of all parts.
+// Restore replaces the state of each Part in the snapshot.
 func (m *Machine) Restore(data []byte) error {
 	if len(data) < 1 {
-		return errShortSnapshot
+		return errTruncatedSnapshot
 	}
 	if data[0] != snapshotVersion {
-		return fmt.Errorf("snapshot has format version %d", data[0])
+		return fmt.Errorf("state machine snapshot has unsupported format version %d", data[0])
 	}
 	data = data[1:]
 	index, n := protowire.ConsumeVarint(data)
 	if n < 0 {
-		return errShortSnapshot
+		return errTruncatedSnapshot
 	}
 	data = data[n:]
 	now, n := protowire.ConsumeVarint(data)
 	if n < 0 {
-		return errShortSnapshot
+		return errTruncatedSnapshot
 	}
 	if err := m.restoreParts(data[n:]); err != nil {
 		return err
@@ -129,20 +132,20 @@
 	for len(data) > 0 {
 		kind, n := protowire.ConsumeVarint(data)
 		if n < 0 {
-			return errShortSnapshot
+			return errTruncatedSnapshot
 		}
 		data = data[n:]
 		body, n := protowire.ConsumeBytes(data)
 		if n < 0 {
-			return errShortSnapshot
+			return errTruncatedSnapshot
 		}
 		data = data[n:]
 		part, ok := m.parts[Kind(kind)]
 		if !ok {
-			return fmt.Errorf("snapshot has unknown part %d", kind)
+			return fmt.Errorf("state machine snapshot has unknown command kind %d", kind)
 		}
 		if err := part.Restore(body); err != nil {
-			return fmt.Errorf("restore part %d: %w", kind, err)
+			return fmt.Errorf("restore the state for commands of kind %d: %w", kind, err)
 		}
 	}
 	return nil
--- a/internal/control/sections/bench_test.go
+++ b/internal/control/sections/bench_test.go
@@ -8,19 +8,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Sizes of the design: workspaces, and edits of one day.
+// Sizes that the design assumes: the number of workspaces, and the number of
+// edits in one day.
 const (
-	designWorkspaces = 1900
-	designEdits      = 2300
+	benchWorkspaces = 1900
+	benchEdits      = 2300
 )
 
-// designLog returns the commands of a day: the first document and edits that
-// each change one workspace.
-func designLog(tb testing.TB) [][]byte {
+// dayOfCommands returns the commands of one day: the initial document, then
+// edits that each change one workspace.
+func dayOfCommands(tb testing.TB) [][]byte {
 	tb.Helper()
-	edits := []*configv1.Edit{firstEdit(tb, designWorkspaces)}
-	for i := range designEdits {
-		workspace := fmt.Sprintf("workspace-%04d", i%designWorkspaces)
+	edits := []*configv1.Edit{firstEdit(tb, benchWorkspaces)}
+	for i := range benchEdits {
+		workspace := fmt.Sprintf("workspace-%04d", i%benchWorkspaces)
 		edits = append(edits, rateEdit(fmt.Sprintf("edit-%024d", i), uint64(i+1), workspace, i+1))
 	}
 	commands := make([][]byte, len(edits))
@@ -38,25 +39,26 @@
 	tb.Helper()
 	p := newPart()
 	for i, c := range commands {
-		p.Apply(uint64(i+1), applied, c)
+		p.Apply(uint64(i+1), applyTime, c)
 	}
 	if p.State().Revision != uint64(len(commands)) {
-		tb.Fatalf("revision %d after %d edits", p.State().Revision, len(commands))
+		tb.Fatalf("document is at revision %d after %d edits", p.State().Revision, len(commands))
 	}
 	return p
 }
 
-// BenchmarkRestartFromLog replays a day without a snapshot.
+// BenchmarkRestartFromLog replays the commands of one day without a snapshot.
 func BenchmarkRestartFromLog(b *testing.B) {
-	commands := designLog(b)
+	commands := dayOfCommands(b)
 	for b.Loop() {
 		replay(b, commands)
 	}
 }
 
-// BenchmarkRestartFromSnapshot restores the same state from a snapshot.
+// BenchmarkRestartFromSnapshot restores the state after the same commands from
+// a snapshot.
 func BenchmarkRestartFromSnapshot(b *testing.B) {
-	data, err := replay(b, designLog(b)).Snapshot()
+	data, err := replay(b, dayOfCommands(b)).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -68,35 +70,35 @@
 	}
 }
 
-// BenchmarkApplyEdit applies one edit of one workspace at design size and
-// reports the bytes of the command.
+// BenchmarkApplyEdit applies edits of one workspace to a document of the design
+// size and reports the size of one command.
 func BenchmarkApplyEdit(b *testing.B) {
 	p := newPart()
-	apply(b, p, 1, firstEdit(b, designWorkspaces))
-	index, size := uint64(1), 0
+	apply(b, p, 1, firstEdit(b, benchWorkspaces))
+	index, commandSize := uint64(1), 0
 	for b.Loop() {
 		body, err := proto.Marshal(rateEdit(fmt.Sprintf("edit-%024d", index), index, "workspace-0007", int(index)))
 		if err != nil {
 			b.Fatal(err)
 		}
-		size = len(body)
+		commandSize = len(body)
 		index++
-		p.Apply(index, applied, body)
+		p.Apply(index, applyTime, body)
 	}
 	if p.State().Revision != index {
-		b.Fatal("an edit was refused")
+		b.Fatal("an edit was rejected")
 	}
-	b.ReportMetric(float64(size), "command-bytes")
+	b.ReportMetric(float64(commandSize), "command-bytes")
 }
 
-// BenchmarkAddKeyBytes reports the command that adds a key to one of 1,900
-// workspaces, which repeats the keys of that workspace only.
+// BenchmarkAddKeyBytes reports the size of the command that adds a key to one of
+// 1,900 workspaces. The command repeats the keys of that workspace only.
 func BenchmarkAddKeyBytes(b *testing.B) {
 	p := newPart()
-	apply(b, p, 1, firstEdit(b, designWorkspaces))
+	apply(b, p, 1, firstEdit(b, benchWorkspaces))
 	key := testDocument(1).Workspaces["workspace-0000"].Keys[0]
 	key.ID = "added"
-	var size, document int
+	var commandSize, documentSize int
 	for b.Loop() {
 		state := p.State()
 		patch, err := state.Sections["workspaces"].Contents.AppendKey("workspace-0007", key)
@@ -106,14 +108,15 @@
 		edit := &configv1.Edit{Id: "edit-000000000000000000000000", Operator: "operator", Sections: []*configv1.SectionEdit{
 			{Section: "workspaces", BaseRevision: 1, Patch: patch},
 		}}
-		size = proto.Size(edit)
-		document = proto.Size(state.EncodeDocument())
+		commandSize = proto.Size(edit)
+		documentSize = proto.Size(state.EncodeDocument())
 	}
-	b.ReportMetric(float64(size), "command-bytes")
-	b.ReportMetric(float64(document), "document-bytes")
+	b.ReportMetric(float64(commandSize), "command-bytes")
+	b.ReportMetric(float64(documentSize), "document-bytes")
 }
 
-// FuzzDecode guards the decoder of states, which come from peers and files.
+// FuzzDecode checks that a state which Decode accepts encodes and decodes
+// again. Encoded states come from peers and files.
 func FuzzDecode(f *testing.F) {
 	p := newPart()
 	apply(f, p, 1, firstEdit(f, 2))
@@ -138,8 +141,8 @@
 	})
 }
 
-// FuzzApply guards the state machine against commands of any content: it must
-// not panic, and its snapshot must restore.
+// FuzzApply checks that no command makes Apply panic or leaves a state whose
+// snapshot cannot be restored.
 func FuzzApply(f *testing.F) {
 	body, err := proto.Marshal(rateEdit("a", 1, "workspace-0001", 5))
 	if err != nil {
@@ -149,7 +152,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		p := newPart()
 		apply(t, p, 1, firstEdit(t, 2))
-		p.Apply(2, applied, body)
+		p.Apply(2, applyTime, body)
 		data, err := p.Snapshot()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/sections/codec.go
+++ b/internal/control/sections/codec.go
@@ -8,7 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// EncodeDocument returns the sections of s; with names, only those.
+// EncodeDocument returns the sections of s as a message. If names are given,
+// only those sections are included.
 func (s *State) EncodeDocument(names ...string) *configv1.Document {
 	wanted := make(map[config.Section]bool, len(names))
 	for _, n := range names {
@@ -30,7 +31,7 @@
 	return d
 }
 
-// DecodeDocument returns a state without history.
+// DecodeDocument returns the state that d describes, with an empty history.
 func DecodeDocument(d *configv1.Document) (*State, error) {
 	s := NewState()
 	s.Revision = d.GetRevision()
@@ -41,7 +42,7 @@
 			return nil, fmt.Errorf("section %q: %w", name, err)
 		}
 		if section.GetRevision() > s.Revision {
-			return nil, fmt.Errorf("section %q has revision %d, above that of the document, %d", name, section.GetRevision(), s.Revision)
+			return nil, fmt.Errorf("section %q has revision %d, but the document is only at revision %d", name, section.GetRevision(), s.Revision)
 		}
 		members := make([]string, 0, len(contents))
 		for member := range contents {
@@ -57,25 +58,25 @@
 	return s, nil
 }
 
-// Encode returns s with its history.
+// Encode returns s and its history in encoded form.
 func (s *State) Encode() ([]byte, error) {
-	return proto.MarshalOptions{Deterministic: true}.Marshal(s.message())
+	return proto.MarshalOptions{Deterministic: true}.Marshal(s.toProto())
 }
 
-func (s *State) message() *configv1.State {
+func (s *State) toProto() *configv1.State {
 	return &configv1.State{Document: s.EncodeDocument(), History: s.history}
 }
 
-// Decode returns the state that Encode wrote.
+// Decode decodes a state encoded by Encode.
 func Decode(data []byte) (*State, error) {
 	var message configv1.State
 	if err := proto.Unmarshal(data, &message); err != nil {
 		return nil, fmt.Errorf("decode configuration state: %w", err)
 	}
-	return fromMessage(&message)
+	return fromProto(&message)
 }
 
-func fromMessage(message *configv1.State) (*State, error) {
+func fromProto(message *configv1.State) (*State, error) {
 	s, err := DecodeDocument(message.GetDocument())
 	if err != nil {
 		return nil, err
@@ -90,12 +91,13 @@
 	return s, nil
 }
 
-// checkHistory makes sure that the changes lead up to revision without a gap.
+// checkHistory checks that each change follows the one before it and that the
+// last one has the given revision.
 func checkHistory(history []*configv1.Change, revision uint64) error {
 	for i := len(history) - 1; i >= 0; i-- {
 		change := history[i]
 		if change.GetRevision() != revision || change.GetPrevious() >= revision {
-			return fmt.Errorf("history has a gap before revision %d", revision)
+			return fmt.Errorf("configuration history has a gap before revision %d", revision)
 		}
 		revision = change.GetPrevious()
 	}
--- a/internal/control/sections/part.go
+++ b/internal/control/sections/part.go
@@ -12,65 +12,67 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// KeptResults is the number of edits whose results are kept for resends:
-// almost two days at 2,300 edits a day, far longer than a tool resends.
-const KeptResults = 4096
+// MaxResults is the number of edits whose results are stored, so that a retry
+// gets the original result. It covers almost two days at 2,300 edits a day, far
+// longer than any tool retries.
+const MaxResults = 4096
 
-// maxProblems bounds what one refused edit adds to the state.
+// maxProblems bounds the problems stored with the result of one invalid edit,
+// and thereby what the edit adds to the replicated state.
 const maxProblems = 100
 
-// Part is the configuration part of the replicated state. Apply, Snapshot and
-// Restore belong to the goroutine that applies the log; State may be called by
-// any goroutine.
+// Part is the replicated configuration state. Only the goroutine that applies
+// the log may call Apply, Snapshot and Restore; any goroutine may call State.
 type Part struct {
-	state   atomic.Pointer[State]
-	changed func()
-	// checker validates changes of the document in state.
+	state    atomic.Pointer[State]
+	onChange func()
+	// checker validates changes against the document in state.
 	checker *config.Checker
 
 	results map[string]*configv1.EditResult
-	// order holds the edit IDs of results, oldest first.
-	order []string
+	// resultOrder lists the edit IDs in results, oldest first.
+	resultOrder []string
 }
 
-// NewPart returns an empty part. It calls changed after each new state.
-func NewPart(changed func()) *Part {
-	p := &Part{changed: changed, results: make(map[string]*configv1.EditResult)}
+// NewPart returns a Part with an empty document. It calls onChange each time the
+// state is replaced.
+func NewPart(onChange func()) *Part {
+	p := &Part{onChange: onChange, results: make(map[string]*configv1.EditResult)}
 	p.state.Store(NewState())
 	p.checker = config.NewChecker(config.Document{})
 	return p
 }
 
-// State returns the last applied state.
+// State returns the state after the last applied command.
 func (p *Part) State() *State { return p.state.Load() }
 
-// Apply implements control.Part. The answer is an encoded EditResult.
+// Apply implements control.Part. The response is an encoded EditResult.
 func (p *Part) Apply(index uint64, now time.Time, body []byte) []byte {
 	var edit configv1.Edit
 	if err := proto.Unmarshal(body, &edit); err != nil {
-		return encodeResult(invalid(&configv1.EditResult{}, config.Problem{Path: "$", Reason: "edit cannot be decoded"}))
+		return encodeResult(setInvalid(&configv1.EditResult{}, config.Problem{Path: "$", Reason: "edit cannot be decoded"}))
 	}
 	return encodeResult(p.apply(index, now, &edit, fingerprint(body)))
 }
 
-func (p *Part) apply(index uint64, now time.Time, edit *configv1.Edit, print uint64) *configv1.EditResult {
-	if known, ok := p.results[edit.GetId()]; ok {
-		if known.GetFingerprint() == print {
-			return known
+func (p *Part) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
+	if stored, ok := p.results[edit.GetId()]; ok {
+		if stored.GetFingerprint() == bodyFingerprint {
+			return stored
 		}
-		return &configv1.EditResult{EditId: edit.GetId(), Outcome: configv1.Outcome_OUTCOME_ID_REUSED, Revision: known.GetRevision()}
+		return &configv1.EditResult{EditId: edit.GetId(), Outcome: configv1.Outcome_OUTCOME_ID_REUSED, Revision: stored.GetRevision()}
 	}
-	result := &configv1.EditResult{EditId: edit.GetId(), Revision: p.State().Revision, Fingerprint: print}
+	result := &configv1.EditResult{EditId: edit.GetId(), Revision: p.State().Revision, Fingerprint: bodyFingerprint}
 	p.execute(index, now, edit, result)
 	if edit.GetId() != "" {
-		p.store(result)
+		p.storeResult(result)
 	}
 	return result
 }
 
 func (p *Part) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
-	if problems := checkEdit(edit); len(problems) > 0 {
-		invalid(result, problems...)
+	if problems := validateEdit(edit); len(problems) > 0 {
+		setInvalid(result, problems...)
 		return
 	}
 	current := p.State()
@@ -80,22 +82,22 @@
 		return
 	}
 	change := &configv1.Change{Revision: index, Previous: current.Revision, TimeMs: now.UnixMilli(), Edit: edit}
-	next, changed, problems := current.merge(change, withSchema)
+	next, changed, problems := current.merge(change, decodeAndCheckSchema)
 	if len(problems) == 0 {
 		problems = p.checker.Check(current.Document, next.Document, changed)
 	}
 	if len(problems) > 0 {
-		invalid(result, problems...)
+		setInvalid(result, problems...)
 		return
 	}
 	result.Outcome = configv1.Outcome_OUTCOME_ACCEPTED
 	result.Revision = index
 	p.checker.Accept(current.Document, next.Document, changed)
 	p.state.Store(next)
-	p.changed()
+	p.onChange()
 }
 
-func checkEdit(edit *configv1.Edit) []config.Problem {
+func validateEdit(edit *configv1.Edit) []config.Problem {
 	var problems []config.Problem
 	if edit.GetId() == "" {
 		problems = append(problems, config.Problem{Path: "id", Reason: "is required"})
@@ -116,8 +118,8 @@
 	return problems
 }
 
-// conflicts lists the sections that another edit changed after the base
-// revision of edit.
+// conflicts returns a conflict for each section of edit that another edit has
+// changed since the base revision of edit.
 func (s *State) conflicts(edit *configv1.Edit) []*configv1.Conflict {
 	var conflicts []*configv1.Conflict
 	for _, section := range edit.GetSections() {
@@ -134,19 +136,19 @@
 	return conflicts
 }
 
-func (p *Part) store(result *configv1.EditResult) {
+func (p *Part) storeResult(result *configv1.EditResult) {
 	p.results[result.GetEditId()] = result
-	p.order = append(p.order, result.GetEditId())
-	if len(p.order) > KeptResults {
-		delete(p.results, p.order[0])
-		p.order = p.order[1:]
+	p.resultOrder = append(p.resultOrder, result.GetEditId())
+	if len(p.resultOrder) > MaxResults {
+		delete(p.results, p.resultOrder[0])
+		p.resultOrder = p.resultOrder[1:]
 	}
 }
 
 // Snapshot implements control.Part.
 func (p *Part) Snapshot() ([]byte, error) {
-	message := p.State().message()
-	for _, id := range p.order {
+	message := p.State().toProto()
+	for _, id := range p.resultOrder {
 		message.Results = append(message.Results, p.results[id])
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -156,24 +158,24 @@
 func (p *Part) Restore(data []byte) error {
 	var message configv1.State
 	if err := proto.Unmarshal(data, &message); err != nil {
-		return fmt.Errorf("decode configuration part: %w", err)
+		return fmt.Errorf("decode configuration snapshot: %w", err)
 	}
-	state, err := fromMessage(&message)
+	state, err := fromProto(&message)
 	if err != nil {
 		return err
 	}
 	p.results = make(map[string]*configv1.EditResult, len(message.GetResults()))
-	p.order = nil
+	p.resultOrder = nil
 	for _, result := range message.GetResults() {
-		p.store(result)
+		p.storeResult(result)
 	}
 	p.checker = config.NewChecker(state.Document)
 	p.state.Store(state)
-	p.changed()
+	p.onChange()
 	return nil
 }
 
-func invalid(result *configv1.EditResult, problems ...config.Problem) *configv1.EditResult {
+func setInvalid(result *configv1.EditResult, problems ...config.Problem) *configv1.EditResult {
 	result.Outcome = configv1.Outcome_OUTCOME_INVALID
 	for _, problem := range problems[:min(len(problems), maxProblems)] {
 		result.Problems = append(result.Problems, &configv1.Problem{Path: problem.Path, Reason: problem.Reason})
@@ -182,7 +184,7 @@
 }
 
 func encodeResult(result *configv1.EditResult) []byte {
-	// A message of this package's own making always encodes.
+	// Marshal does not fail on a message built by this package.
 	data, _ := proto.Marshal(result)
 	return data
 }
--- a/internal/control/sections/part_test.go
+++ b/internal/control/sections/part_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var applied = time.UnixMilli(1_700_000_000_000)
+var applyTime = time.UnixMilli(1_700_000_000_000)
 
 func newPart() *Part { return NewPart(func() {}) }
 
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	var result configv1.EditResult
-	if err := proto.Unmarshal(p.Apply(index, applied, body), &result); err != nil {
+	if err := proto.Unmarshal(p.Apply(index, applyTime, body), &result); err != nil {
 		t.Fatal(err)
 	}
 	return &result
@@ -64,29 +64,30 @@
 	}
 }
 
-// Guards against two operators overwriting each other: of two edits with the
-// same base exactly one is accepted, and the other learns which one.
+// Guards against concurrent edits by two operators overwriting each other. Of
+// two edits with the same base revision only the first is accepted; the conflict
+// reported for the second names the first.
 func TestRacingEditsHaveOneWinner(t *testing.T) {
 	p := newPart()
 	wantOutcome(t, apply(t, p, 5, firstEdit(t, 2)), configv1.Outcome_OUTCOME_ACCEPTED)
 	wantOutcome(t, apply(t, p, 6, rateEdit("a", 5, "workspace-0000", 10)), configv1.Outcome_OUTCOME_ACCEPTED)
-	lost := apply(t, p, 7, rateEdit("b", 5, "workspace-0001", 20))
-	wantOutcome(t, lost, configv1.Outcome_OUTCOME_CONFLICT)
-	if c := lost.GetConflicts(); len(c) != 1 || c[0].GetRevision() != 6 || c[0].GetEditId() != "a" {
+	rejected := apply(t, p, 7, rateEdit("b", 5, "workspace-0001", 20))
+	wantOutcome(t, rejected, configv1.Outcome_OUTCOME_CONFLICT)
+	if c := rejected.GetConflicts(); len(c) != 1 || c[0].GetRevision() != 6 || c[0].GetEditId() != "a" {
 		t.Fatalf("conflict names %v, want revision 6 of edit a", c)
 	}
 	if got := p.State().Document.Rates["workspace-0001"].RateTokensPerSecond; got != 1000 {
-		t.Fatalf("the losing edit changed the rate to %v", got)
+		t.Fatalf("the rejected edit changed the rate to %v", got)
 	}
 }
 
-// Guards against a resend being executed twice or answered differently, also
-// after a snapshot and a restore.
+// Guards against a retried edit being executed twice or getting a different
+// result, including after a snapshot is restored.
 func TestResendGetsStoredAnswer(t *testing.T) {
 	p := newPart()
 	apply(t, p, 5, firstEdit(t, 2))
-	won := apply(t, p, 6, rateEdit("a", 5, "workspace-0000", 10))
-	lost := apply(t, p, 7, rateEdit("b", 5, "workspace-0000", 20))
+	accepted := apply(t, p, 6, rateEdit("a", 5, "workspace-0000", 10))
+	rejected := apply(t, p, 7, rateEdit("b", 5, "workspace-0000", 20))
 	data, err := p.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -96,20 +97,21 @@
 		t.Fatal(err)
 	}
 	for _, part := range []*Part{p, restored} {
-		if again := apply(t, part, 8, rateEdit("a", 5, "workspace-0000", 10)); !proto.Equal(again, won) {
-			t.Fatalf("resend of the accepted edit answered %v, want %v", again, won)
+		if again := apply(t, part, 8, rateEdit("a", 5, "workspace-0000", 10)); !proto.Equal(again, accepted) {
+			t.Fatalf("retry of the accepted edit returned %v, want %v", again, accepted)
 		}
-		if again := apply(t, part, 9, rateEdit("b", 5, "workspace-0000", 20)); !proto.Equal(again, lost) {
-			t.Fatalf("resend of the refused edit answered %v, want %v", again, lost)
+		if again := apply(t, part, 9, rateEdit("b", 5, "workspace-0000", 20)); !proto.Equal(again, rejected) {
+			t.Fatalf("retry of the rejected edit returned %v, want %v", again, rejected)
 		}
 		wantOutcome(t, apply(t, part, 10, rateEdit("a", 6, "workspace-0000", 30)), configv1.Outcome_OUTCOME_ID_REUSED)
 		if part.State().Revision != 6 {
-			t.Fatalf("a resend moved the revision to %d", part.State().Revision)
+			t.Fatalf("a retry changed the revision to %d", part.State().Revision)
 		}
 	}
 }
 
-// Guards against an edit that leaves the sections contradicting each other.
+// Guards against accepting an edit that makes sections inconsistent with each
+// other.
 func TestMergedDocumentMustValidate(t *testing.T) {
 	p := newPart()
 	apply(t, p, 5, firstEdit(t, 2))
@@ -120,58 +122,59 @@
 	result := apply(t, p, 6, edit)
 	wantOutcome(t, result, configv1.Outcome_OUTCOME_INVALID)
 	if len(result.GetProblems()) != 2 {
-		t.Fatalf("problems %v, want one for each section", result.GetProblems())
+		t.Fatalf("got problems %v, want one for each section", result.GetProblems())
 	}
 	if p.State().Revision != 5 {
-		t.Fatal("a refused edit changed the document")
+		t.Fatal("a rejected edit changed the document")
 	}
 }
 
-// Guards against the memory of results growing without bound, and against
-// losing an answer before the stated number of edits.
+// Guards against stored results using memory without bound, and against dropping
+// a result before MaxResults later ones are stored.
 func TestResultsAreKeptForStatedNumber(t *testing.T) {
 	p := newPart()
 	apply(t, p, 1, firstEdit(t, 1))
-	for i := range uint64(KeptResults) {
+	for i := range uint64(MaxResults) {
 		apply(t, p, i+2, rateEdit(fmt.Sprint("e", i), i+1, "workspace-0000", int(i)+1))
 	}
-	if len(p.results) != KeptResults || len(p.order) != KeptResults {
-		t.Fatalf("%d results are kept, want %d", len(p.results), KeptResults)
+	if len(p.results) != MaxResults || len(p.resultOrder) != MaxResults {
+		t.Fatalf("%d results are stored, want %d", len(p.results), MaxResults)
 	}
 	before := p.State().Revision
 	apply(t, p, before+1, rateEdit("e0", 1, "workspace-0000", 1))
 	if p.State().Revision != before {
-		t.Fatal("the oldest kept result was forgotten")
+		t.Fatal("the oldest stored result was lost, and the retried edit was executed")
 	}
 }
 
-// Guards against a VM applying changes over a gap in the history.
+// Guards against a VM applying a change that does not directly follow its
+// revision because the history has dropped the changes in between.
 func TestSinceCoversHistoryOrReportsGap(t *testing.T) {
 	p := newPart()
 	apply(t, p, 5, firstEdit(t, 1))
 	old := p.State()
-	for i := range uint64(MaxHistory + 10) {
+	for i := range uint64(MaxHistoryChanges + 10) {
 		apply(t, p, i+6, rateEdit(fmt.Sprint("e", i), i+5, "workspace-0000", int(i)+1))
 	}
 	s := p.State()
 	if _, ok := s.Since(5); ok {
-		t.Fatal("the history claims to reach back to a change that it dropped")
+		t.Fatal("Since reported success for a revision whose next change was dropped")
 	}
 	if _, ok := s.Since(s.Revision + 1); ok {
-		t.Fatal("the history claims to know a revision of the future")
+		t.Fatal("Since reported success for a revision later than the current one")
 	}
 	changes, ok := s.Since(s.Revision - 3)
 	if !ok || len(changes) != 3 {
-		t.Fatalf("%d changes (covered: %v), want 3", len(changes), ok)
+		t.Fatalf("Since returned %d changes (reported success: %v), want 3", len(changes), ok)
 	}
 	if _, err := old.Apply(changes[0]); err == nil {
-		t.Fatal("a change was applied over a gap")
+		t.Fatal("a change that does not directly follow the state was applied")
 	}
 }
 
-// Guards against two states that follow the same one, as the log and a pull
-// make them, overwriting each other's history: a rejected edit would be passed
-// on to VMs that catch up.
+// Guards against two states derived from the same state overwriting each other's
+// history, which would send a rejected edit to VMs that catch up. Applying the
+// log and pulling changes from another VM can derive two such states.
 func TestStatesDoNotShareHistory(t *testing.T) {
 	p := newPart()
 	apply(t, p, 1, firstEdit(t, 1))
@@ -190,6 +193,6 @@
 		t.Fatal(err)
 	}
 	if changes, _ := first.Since(3); len(changes) != 1 || changes[0].GetEdit().GetId() != "first" {
-		t.Fatalf("the history of the first state became %v", changes)
+		t.Fatalf("the history of the first state changed to %v", changes)
 	}
 }
--- a/internal/control/sections/state.go
+++ b/internal/control/sections/state.go
@@ -1,5 +1,6 @@
-// Package sections holds the service document as a replicated state: sections
-// with revisions, edits with compare-and-set, and the history from which other
+// Package sections implements the replicated service document. The document
+// consists of sections, each with a revision. Edits are compare-and-set
+// operations on those revisions, and a bounded history of changes lets other
 // VMs catch up. The package does no I/O.
 package sections
 
@@ -14,61 +15,66 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of the history that one VM keeps for others to catch up from.
+// Limits of the history that a VM keeps so that other VMs can catch up.
 const (
-	// MaxHistory covers almost two days at 2,300 edits a day.
-	MaxHistory = 4096
-	// MaxHistoryBytes bounds the memory that the patches take; a first
-	// document counts with its full size.
+	// MaxHistoryChanges covers almost two days at 2,300 edits a day.
+	MaxHistoryChanges = 4096
+	// MaxHistoryBytes bounds the memory used by the patches. The edit that
+	// sets the initial document counts with the size of the whole document.
 	MaxHistoryBytes = 4 << 20
 )
 
-// Section is one section as of its revision.
+// Section is one section of the document at its current revision.
 type Section struct {
 	// Revision is the log index of the edit that last changed the section.
 	Revision uint64
-	// EditID names that edit.
+	// EditID is the ID of that edit.
 	EditID string
-	// Contents is the section as raw JSON.
+	// Contents holds the members of the section as raw JSON.
 	Contents config.Contents
 }
 
-// State is the document as of one revision, with its history. It is
-// immutable: Apply returns a new one.
+// State is the document at one revision, with the history that led to it. Its
+// visible contents are immutable: Apply returns a new State.
 type State struct {
-	// Revision is the log index of the last accepted edit; 0 for none.
+	// Revision is the log index of the last accepted edit, or 0 before the
+	// first edit.
 	Revision uint64
-	// Sections holds the sections that were ever set.
+	// Sections holds every section that an accepted edit has set.
 	Sections map[config.Section]Section
-	// Document is the decoded document, without defaults.
+	// Document is the decoded document, without default values filled in.
 	Document config.Document
 
-	// history holds the latest changes, oldest first. The first state that
-	// follows appends behind the length that this one sees; others copy.
+	// history holds the latest changes, oldest first. The first state derived
+	// from this one appends to the same backing array, beyond the length of
+	// this slice; any further derived state copies the array.
 	history      []*configv1.Change
 	historyBytes int
-	// followed is set once the room behind history is taken. The log and a pull
-	// of the same VM may derive states from one state at the same time.
-	followed atomic.Bool
+	// tailClaimed is set once a derived state may append to the backing array of
+	// history. It is atomic because applying the log and pulling changes from
+	// another VM may derive states from the same state concurrently.
+	tailClaimed atomic.Bool
 }
 
-// NewState returns the state before the first edit.
+// NewState returns the empty state, before the first edit.
 func NewState() *State {
 	return &State{Sections: make(map[config.Section]Section)}
 }
 
-// GapError means that a change does not follow the state it is applied to.
-type GapError struct{ Have, Previous uint64 }
+// GapError means that a change does not directly follow the revision of the
+// state it is applied to.
+type GapError struct{ Current, Previous uint64 }
 
-// Error names both revisions.
+// Error describes both revisions.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("change follows revision %d, but the document is at revision %d", e.Previous, e.Have)
+	return fmt.Sprintf("change follows revision %d, but the document is at revision %d", e.Previous, e.Current)
 }
 
-// Apply returns the state after change.
+// Apply returns the state that results from change. The change must directly
+// follow the revision of s; otherwise the error is a GapError.
 func (s *State) Apply(change *configv1.Change) (*State, error) {
 	if change.GetPrevious() != s.Revision {
-		return nil, &GapError{Have: s.Revision, Previous: change.GetPrevious()}
+		return nil, &GapError{Current: s.Revision, Previous: change.GetPrevious()}
 	}
 	if change.GetRevision() <= s.Revision {
 		return nil, fmt.Errorf("change has revision %d, but the document is at revision %d", change.GetRevision(), s.Revision)
@@ -80,19 +86,19 @@
 	return next, nil
 }
 
-// checking says how far a merged member is checked.
-type checking bool
+// validation selects how strictly a merged member is validated.
+type validation bool
 
 const (
-	// decodeOnly is for changes that the log has accepted.
-	decodeOnly checking = false
-	// withSchema is for new edits.
-	withSchema checking = true
+	// decodeOnly is for changes that were validated when the log accepted them.
+	decodeOnly validation = false
+	// decodeAndCheckSchema is for edits that are not accepted yet.
+	decodeAndCheckSchema validation = true
 )
 
-// merge applies the patches of change. It returns the members that the patches
-// mention and every problem found.
-func (s *State) merge(change *configv1.Change, check checking) (*State, map[config.Section][]string, []config.Problem) {
+// merge applies the patches of change and returns the resulting state, the
+// members that the patches mention in each section, and all problems found.
+func (s *State) merge(change *configv1.Change, level validation) (*State, map[config.Section][]string, []config.Problem) {
 	next := &State{
 		Revision:     change.GetRevision(),
 		Sections:     maps.Clone(s.Sections),
@@ -103,22 +109,22 @@
 	var problems []config.Problem
 	changed := make(map[config.Section][]string)
 	for _, edit := range change.GetEdit().GetSections() {
-		names, found := next.mergeSection(change, edit, check)
+		names, found := next.mergeSection(change, edit, level)
 		changed[config.Section(edit.GetSection())] = names
 		problems = append(problems, found...)
 	}
-	next.remember(change)
+	next.appendHistory(change)
 	return next, changed, problems
 }
 
-func (s *State) mergeSection(change *configv1.Change, edit *configv1.SectionEdit, check checking) ([]string, []config.Problem) {
+func (s *State) mergeSection(change *configv1.Change, edit *configv1.SectionEdit, level validation) ([]string, []config.Problem) {
 	name := config.Section(edit.GetSection())
 	contents, changed, err := s.Sections[name].Contents.Merge(edit.GetPatch())
 	if err != nil {
 		return nil, []config.Problem{{Path: string(name), Reason: err.Error()}}
 	}
 	var problems []config.Problem
-	if check == withSchema {
+	if level == decodeAndCheckSchema {
 		if problems = config.CheckMembers(name, contents, changed); len(problems) > 0 {
 			return changed, problems
 		}
@@ -128,25 +134,27 @@
 	return changed, problems
 }
 
-// claimHistory returns the history for one state that follows.
+// claimHistory returns the history for a state derived from s. The first caller
+// gets the backing array with its spare capacity. Later callers get a slice
+// without spare capacity, which append copies.
 func (s *State) claimHistory() []*configv1.Change {
-	if s.followed.CompareAndSwap(false, true) {
+	if s.tailClaimed.CompareAndSwap(false, true) {
 		return s.history
 	}
 	return slices.Clip(s.history)
 }
 
-func (s *State) remember(change *configv1.Change) {
+func (s *State) appendHistory(change *configv1.Change) {
 	s.history = append(s.history, change)
 	s.historyBytes += proto.Size(change)
-	for len(s.history) > 1 && (len(s.history) > MaxHistory || s.historyBytes > MaxHistoryBytes) {
+	for len(s.history) > 1 && (len(s.history) > MaxHistoryChanges || s.historyBytes > MaxHistoryBytes) {
 		s.historyBytes -= proto.Size(s.history[0])
 		s.history = s.history[1:]
 	}
 }
 
 // Since returns the changes after revision, oldest first. It reports false if
-// the history does not reach back that far.
+// the history does not reach back to revision, or if s is not that recent.
 func (s *State) Since(revision uint64) ([]*configv1.Change, bool) {
 	if revision == s.Revision {
 		return nil, true
@@ -162,12 +170,11 @@
 	return nil, false
 }
 
-// History returns the changes that are kept, oldest first. They must not be
-// changed.
+// History returns the retained changes, oldest first. The caller must not
+// modify them.
 func (s *State) History() []*configv1.Change { return s.history }
 
-// FirstEdit returns the edit that sets every section of d on an empty
-// document.
+// FirstEdit returns the edit that creates document d from the empty state.
 func FirstEdit(id string, d config.Document) (*configv1.Edit, error) {
 	raw, err := d.Split()
 	if err != nil {
