--- a/internal/adapter/replica/bench_test.go
+++ b/internal/adapter/replica/bench_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// BenchmarkCommit measures commits with fsync on three voters, with a number
-// of callers at once on the leader or on a follower.
+// BenchmarkCommit measures commits with fsync on three voters, for several
+// numbers of concurrent callers on the leader or on a follower.
 func BenchmarkCommit(b *testing.B) {
 	for _, callers := range []int{1, 16, 128} {
 		for _, where := range []string{"leader", "follower"} {
@@ -35,13 +35,13 @@
 				}
 				proposeBytes(b, v, make([]byte, benchBody))
 				b.ResetTimer()
-				commitAll(b, v, callers)
+				proposeConcurrently(b, v, callers)
 			})
 		}
 	}
 }
 
-func commitAll(b *testing.B, v *vm, callers int) {
+func proposeConcurrently(b *testing.B, v *vm, callers int) {
 	latencies := make([]time.Duration, b.N)
 	var next atomic.Int64
 	done := make(chan struct{})
@@ -81,19 +81,21 @@
 		leader := c.leader(c.vms...)
 		start := time.Now()
 		leader.stop()
-		commitAgain(b, c.others(leader)[0])
+		proposeUntilCommitted(b, c.others(leader)[0])
 		worst = max(worst, time.Since(start))
 		b.StopTimer()
 		c.restart(leader)
-		commitAgain(b, leader)
+		proposeUntilCommitted(b, leader)
 		b.StartTimer()
 	}
 	b.ReportMetric(worst.Seconds(), "worst-s")
 	b.ReportMetric(b.Elapsed().Seconds()/float64(b.N), "mean-s")
 }
 
-// commitAgain repeats a proposal whose outcome is uncertain.
-func commitAgain(b *testing.B, v *vm) {
+// proposeUntilCommitted proposes a command until it is committed. It retries
+// after any error, so a command whose outcome was uncertain may be committed
+// more than once.
+func proposeUntilCommitted(b *testing.B, v *vm) {
 	for range 100 {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		_, err := v.log.Propose(ctx, control.KindClaims, make([]byte, benchBody))
@@ -102,24 +104,24 @@
 			return
 		}
 	}
-	b.Fatal("no commit")
+	b.Fatal("no command was committed in 100 attempts")
 }
 
-// BenchmarkIdle measures the processor time of three idle voters.
+// BenchmarkIdle measures the CPU usage of three idle voters.
 func BenchmarkIdle(b *testing.B) {
 	c := newCluster(b, 3)
 	c.leader(c.vms...)
-	usage := func() time.Duration {
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	before := usage()
+	before := cpuTime()
 	b.ResetTimer()
 	for range b.N {
 		time.Sleep(time.Second)
 	}
-	used := usage() - before
+	used := cpuTime() - before
 	b.ReportMetric(100*used.Seconds()/b.Elapsed().Seconds()/3, "%core/voter")
 }
 
@@ -127,7 +129,7 @@
 // the first commit.
 func BenchmarkRestartAll(b *testing.B) {
 	c := newCluster(b, 3)
-	commitAgain(b, c.vms[0])
+	proposeUntilCommitted(b, c.vms[0])
 	b.ResetTimer()
 	for range b.N {
 		b.StopTimer()
@@ -138,13 +140,13 @@
 		for _, v := range c.vms {
 			c.restart(v)
 		}
-		commitAgain(b, c.vms[0])
+		proposeUntilCommitted(b, c.vms[0])
 	}
 	b.ReportMetric(b.Elapsed().Seconds()/float64(b.N), "mean-s")
 }
 
-// BenchmarkRestart measures the time to open a voter with a snapshot and
-// 2,300 entries after it, and until it has applied them as sole voter.
+// BenchmarkRestart measures the time until a restarted sole voter has loaded a
+// snapshot and applied the 2,300 log entries after it.
 func BenchmarkRestart(b *testing.B) {
 	const entries = 2300
 	c := newCluster(b, 1)
@@ -152,7 +154,7 @@
 	c.leader(v)
 	body := make([]byte, benchBody)
 	proposeBytes(b, v, body)
-	v.replica.post(func() { _ = v.replica.startSnapshot() })
+	v.replica.enqueue(func() { _ = v.replica.startSnapshot() })
 	for range entries {
 		proposeBytes(b, v, body)
 	}
--- a/internal/adapter/replica/calls.go
+++ b/internal/adapter/replica/calls.go
@@ -12,105 +12,108 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// ErrNotLeader means that another replica must be asked; nothing happened.
-var ErrNotLeader = fmt.Errorf("%w: this replica does not lead", control.ErrNotCommitted)
+// ErrNotLeader means that the call had no effect and must be sent to another
+// replica.
+var ErrNotLeader = fmt.Errorf("%w: this replica is not the leader", control.ErrNotCommitted)
 
-// proposal is a command, or a membership change, that waits for its outcome.
+// proposal is a command or membership change whose outcome is pending.
 type proposal struct {
 	kind   control.Kind
 	body   []byte
 	change *raft.Change
 	term   uint64
-	// taken is set by the side that decides first: the replica when it
-	// appends the command, or the caller when it gives up before that.
-	taken atomic.Bool
-	done  chan outcome
+	// claimed is set either by the replica when it accepts the proposal, or by
+	// the caller when it gives up. Whichever sets it first decides whether the
+	// proposal is submitted.
+	claimed atomic.Bool
+	done    chan proposalResult
 }
 
-type outcome struct {
+type proposalResult struct {
 	answer []byte
 	err    error
 }
 
-func (p *proposal) finish(answer []byte, err error) { p.done <- outcome{answer, err} }
+func (p *proposal) complete(answer []byte, err error) { p.done <- proposalResult{answer, err} }
 
-// waiter waits until the state contains an index.
-type waiter struct {
+// indexWaiter waits until the entry at index is applied.
+type indexWaiter struct {
 	index uint64
-	done  chan readResult
+	done  chan waitResult
 }
 
-type readResult struct {
+type waitResult struct {
 	index uint64
 	err   error
 }
 
-// Propose commits a command if this replica leads. The error is
+// Propose commits a command if this replica leads. Every error wraps
 // ErrNotLeader, control.ErrNotCommitted or control.ErrUncertain.
 func (r *Replica) Propose(ctx context.Context, kind control.Kind, body []byte) ([]byte, error) {
 	if _, ok := r.config.Parts[kind]; !ok {
-		return nil, fmt.Errorf("%w: state machine has no part %d", control.ErrNotCommitted, kind)
+		return nil, fmt.Errorf("%w: unknown command kind %d", control.ErrNotCommitted, kind)
 	}
-	return r.submit(ctx, &proposal{kind: kind, body: body, done: make(chan outcome, 1)})
+	return r.submit(ctx, &proposal{kind: kind, body: body, done: make(chan proposalResult, 1)})
 }
 
 // ChangeMembers commits a membership change if this replica leads.
 func (r *Replica) ChangeMembers(ctx context.Context, change raft.Change) error {
-	_, err := r.submit(ctx, &proposal{change: &change, done: make(chan outcome, 1)})
+	_, err := r.submit(ctx, &proposal{change: &change, done: make(chan proposalResult, 1)})
 	return err
 }
 
 func (r *Replica) submit(ctx context.Context, p *proposal) ([]byte, error) {
-	if !r.post(func() { r.take(p) }) {
+	if !r.enqueue(func() { r.acceptProposal(p) }) {
 		return nil, ErrNotLeader
 	}
 	select {
 	case o := <-p.done:
 		return o.answer, o.err
 	case <-ctx.Done():
-		return nil, giveUp(p, fmt.Errorf("%w: %w", control.ErrNotCommitted, ctx.Err()), ctx.Err())
+		return nil, cancelProposal(p, fmt.Errorf("%w: %w", control.ErrNotCommitted, ctx.Err()), ctx.Err())
 	case <-r.stopped:
 	}
-	// The replica may have answered just before it stopped.
+	// The replica may have completed the proposal just before it stopped.
 	select {
 	case o := <-p.done:
 		return o.answer, o.err
 	default:
-		return nil, giveUp(p, ErrNotLeader, errStopped)
+		return nil, cancelProposal(p, ErrNotLeader, errStopped)
 	}
 }
 
-// giveUp returns untaken if the replica has not taken the proposal and now
-// never will.
-func giveUp(p *proposal, untaken, cause error) error {
-	if p.taken.CompareAndSwap(false, true) {
-		return untaken
+// cancelProposal cancels p. It returns unclaimedErr if the replica has not
+// accepted p, and now never will. Otherwise the outcome is uncertain.
+func cancelProposal(p *proposal, unclaimedErr, cause error) error {
+	if p.claimed.CompareAndSwap(false, true) {
+		return unclaimedErr
 	}
 	return fmt.Errorf("%w: %w", control.ErrUncertain, cause)
 }
 
-// take runs in the goroutine of Run.
-func (r *Replica) take(p *proposal) {
-	if !p.taken.CompareAndSwap(false, true) {
+// acceptProposal queues a command, or proposes a membership change at once. It
+// runs on the goroutine of Run.
+func (r *Replica) acceptProposal(p *proposal) {
+	if !p.claimed.CompareAndSwap(false, true) {
 		return
 	}
 	if p.change == nil {
-		r.queue = append(r.queue, p)
+		r.queuedProposals = append(r.queuedProposals, p)
 		return
 	}
-	index, term, err := r.core.ProposeChange(*p.change)
+	index, term, err := r.node.ProposeChange(*p.change)
 	if err != nil {
-		p.finish(nil, refused(err))
+		p.complete(nil, proposeError(err))
 		return
 	}
 	p.term = term
-	r.pending[index] = append(r.pending[index], p)
+	r.pendingProposals[index] = append(r.pendingProposals[index], p)
 }
 
-// flush proposes the queued commands together.
-func (r *Replica) flush() {
-	queue := r.queue
-	r.queue = nil
+// proposeQueued proposes all queued commands as one batch.
+func (r *Replica) proposeQueued() {
+	queue := r.queuedProposals
+	r.queuedProposals = nil
 	if len(queue) == 0 {
 		return
 	}
@@ -119,106 +122,108 @@
 	for i, p := range queue {
 		commands[i] = control.EncodeCommand(p.kind, now, p.body)
 	}
-	first, term, err := r.core.Propose(commands...)
+	first, term, err := r.node.Propose(commands...)
 	for i, p := range queue {
 		if err != nil {
-			p.finish(nil, refused(err))
+			p.complete(nil, proposeError(err))
 			continue
 		}
 		p.term = term
 		index := first + uint64(i)
-		r.pending[index] = append(r.pending[index], p)
+		r.pendingProposals[index] = append(r.pendingProposals[index], p)
 	}
 }
 
-func refused(err error) error {
+func proposeError(err error) error {
 	if errors.Is(err, raft.ErrNotLeader) {
 		return ErrNotLeader
 	}
 	return fmt.Errorf("%w: %w", control.ErrNotCommitted, err)
 }
 
-var errReplaced = errors.New("another leader's entry took its place")
+var errOverwritten = errors.New("an entry of another leader was committed at its log index")
 
-// resolve answers the proposals at the position of a committed entry. A
-// proposal of another term at that position can never be committed.
-func (r *Replica) resolve(e raft.Entry, answer []byte, err error) {
-	waiting, ok := r.pending[e.Index]
+// completeProposals completes the proposals at the index of a committed entry. A
+// proposal with another term at that index can never be committed.
+func (r *Replica) completeProposals(e raft.Entry, answer []byte, err error) {
+	waiting, ok := r.pendingProposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(r.pending, e.Index)
+	delete(r.pendingProposals, e.Index)
 	for _, p := range waiting {
 		switch {
 		case p.term != e.Term:
-			p.finish(nil, fmt.Errorf("%w: %w", control.ErrNotCommitted, errReplaced))
+			p.complete(nil, fmt.Errorf("%w: %w", control.ErrNotCommitted, errOverwritten))
 		case err != nil:
-			p.finish(nil, fmt.Errorf("%w: %w", control.ErrUncertain, err))
+			p.complete(nil, fmt.Errorf("%w: %w", control.ErrUncertain, err))
 		default:
-			p.finish(answer, nil)
+			p.complete(answer, nil)
 		}
 	}
 }
 
-// forget answers the proposals that a snapshot covers: whether it contains
-// them is unknown.
-func (r *Replica) forget(index uint64) {
-	for at, waiting := range r.pending {
+// failProposalsThrough fails the proposals up to index, which an installed
+// snapshot covers. Their outcome is uncertain, because it is unknown whether the
+// snapshot contains them.
+func (r *Replica) failProposalsThrough(index uint64) {
+	for at, waiting := range r.pendingProposals {
 		if at > index {
 			continue
 		}
-		delete(r.pending, at)
+		delete(r.pendingProposals, at)
 		for _, p := range waiting {
-			p.finish(nil, fmt.Errorf("%w: a snapshot covers it", control.ErrUncertain))
+			p.complete(nil, fmt.Errorf("%w: an installed snapshot covers its log index", control.ErrUncertain))
 		}
 	}
 }
 
-// abandon answers everything that waits when the replica stops.
-func (r *Replica) abandon() {
-	for _, waiting := range r.pending {
+// failAll fails all proposals, reads and waiters when the replica stops.
+func (r *Replica) failAll() {
+	for _, waiting := range r.pendingProposals {
 		for _, p := range waiting {
-			p.finish(nil, fmt.Errorf("%w: replica stopped", control.ErrUncertain))
+			p.complete(nil, fmt.Errorf("%w: control log replica stopped", control.ErrUncertain))
 		}
 	}
-	for _, p := range r.queue {
-		p.finish(nil, ErrNotLeader)
+	for _, p := range r.queuedProposals {
+		p.complete(nil, ErrNotLeader)
 	}
-	for _, w := range r.reads {
-		w.done <- readResult{err: ErrNotLeader}
+	for _, w := range r.pendingReads {
+		w.done <- waitResult{err: ErrNotLeader}
 	}
-	for _, w := range r.waiting {
-		w.done <- readResult{err: errStopped}
+	for _, w := range r.waiters {
+		w.done <- waitResult{err: errStopped}
 	}
-	r.pending, r.queue, r.reads, r.waiting = nil, nil, nil, nil
+	r.pendingProposals, r.queuedProposals, r.pendingReads, r.waiters = nil, nil, nil, nil
 }
 
-var errStopped = errors.New("replica stopped")
+var errStopped = errors.New("control log replica stopped")
 
-// Barrier returns a position that contains every command committed before
-// the call, once this replica has applied it. Only a leader answers.
+// Barrier returns a log index that covers every command committed before the
+// call, once this replica has applied that index. It fails with ErrNotLeader
+// unless this replica leads.
 func (r *Replica) Barrier(ctx context.Context) (uint64, error) {
-	w := &waiter{done: make(chan readResult, 1)}
-	return r.await(ctx, w, func() {
-		r.lastRead++
-		id := r.lastRead
-		if err := r.core.ReadIndex(id); err != nil {
-			w.done <- readResult{err: ErrNotLeader}
+	w := &indexWaiter{done: make(chan waitResult, 1)}
+	return r.wait(ctx, w, func() {
+		r.lastReadID++
+		id := r.lastReadID
+		if err := r.node.ReadIndex(id); err != nil {
+			w.done <- waitResult{err: ErrNotLeader}
 			return
 		}
-		r.reads[id] = w
+		r.pendingReads[id] = w
 	})
 }
 
-// WaitApplied returns once this replica has applied index.
+// WaitApplied blocks until this replica has applied the entry at index.
 func (r *Replica) WaitApplied(ctx context.Context, index uint64) error {
-	w := &waiter{index: index, done: make(chan readResult, 1)}
-	_, err := r.await(ctx, w, func() { r.waitFor(w) })
+	w := &indexWaiter{index: index, done: make(chan waitResult, 1)}
+	_, err := r.wait(ctx, w, func() { r.addWaiter(w) })
 	return err
 }
 
-func (r *Replica) await(ctx context.Context, w *waiter, start func()) (uint64, error) {
-	if !r.post(start) {
+func (r *Replica) wait(ctx context.Context, w *indexWaiter, start func()) (uint64, error) {
+	if !r.enqueue(start) {
 		return 0, ErrNotLeader
 	}
 	select {
@@ -231,67 +236,68 @@
 	}
 }
 
-func (r *Replica) answerRead(state raft.ReadState) {
-	w := r.reads[state.ID]
-	delete(r.reads, state.ID)
+func (r *Replica) completeRead(state raft.ReadState) {
+	w := r.pendingReads[state.ID]
+	delete(r.pendingReads, state.ID)
 	if w == nil {
 		return
 	}
 	if state.Failed {
-		w.done <- readResult{err: ErrNotLeader}
+		w.done <- waitResult{err: ErrNotLeader}
 		return
 	}
 	w.index = state.Index
-	r.waitFor(w)
+	r.addWaiter(w)
 }
 
-func (r *Replica) waitFor(w *waiter) {
-	r.waiting = append(r.waiting, w)
-	r.wake()
+func (r *Replica) addWaiter(w *indexWaiter) {
+	r.waiters = append(r.waiters, w)
+	r.notifyWaiters()
 }
 
-// wake answers the waiters whose index is applied.
-func (r *Replica) wake() {
-	kept := r.waiting[:0]
-	for _, w := range r.waiting {
-		if w.index <= r.applied {
-			w.done <- readResult{index: w.index}
+// notifyWaiters notifies and removes the waiters whose index is applied.
+func (r *Replica) notifyWaiters() {
+	kept := r.waiters[:0]
+	for _, w := range r.waiters {
+		if w.index <= r.appliedIndex {
+			w.done <- waitResult{index: w.index}
 			continue
 		}
 		kept = append(kept, w)
 	}
-	clear(r.waiting[len(kept):])
-	r.waiting = kept
+	clear(r.waiters[len(kept):])
+	r.waiters = kept
 }
 
-// Transfer hands the leadership to another voter and returns once that one
-// leads.
+// Transfer transfers leadership to another voter and returns once another
+// replica leads.
 func (r *Replica) Transfer(ctx context.Context) error {
 	done := make(chan bool, 1)
-	if !r.post(func() { done <- r.core.TransferLeadership() }) {
+	if !r.enqueue(func() { done <- r.node.TransferLeadership() }) {
 		return errStopped
 	}
 	select {
 	case ok := <-done:
 		if !ok {
-			return errors.New("no other voter can lead")
+			return errors.New("leadership transfer: no other voter can take over")
 		}
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.stopped:
 		return errStopped
 	}
-	return r.awaitSuccessor(ctx)
+	return r.waitForNewLeader(ctx)
 }
 
-// awaitSuccessor returns once another replica leads: this one may stop only
-// after its request to campaign has left.
-func (r *Replica) awaitSuccessor(ctx context.Context) error {
+// waitForNewLeader blocks until another replica leads. This replica must keep
+// running until then, because otherwise it could stop before its request to
+// campaign is sent.
+func (r *Replica) waitForNewLeader(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if leader := r.Status().Leader; leader != "" && leader != r.config.ID {
 			return nil
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 	return ctx.Err()
 }
--- a/internal/adapter/replica/cluster_test.go
+++ b/internal/adapter/replica/cluster_test.go
@@ -21,14 +21,15 @@
 	raftv1 "github.com/cuminwing/cuminwing/proto/raft/v1"
 )
 
-// register is a state machine that holds the number of the last command. Every
-// answer is the number before and the position of the command.
+// register is a state machine that records the value of each command. The
+// response to a command holds the previous value and the log index of the
+// command.
 type register struct {
 	mu      sync.Mutex
 	history []uint64
 }
 
-func number(body []byte) (uint64, []byte) {
+func consumeNumber(body []byte) (uint64, []byte) {
 	v, n := protowire.ConsumeVarint(body)
 	return v, body[max(n, 0):]
 }
@@ -40,7 +41,7 @@
 	if n := len(r.history); n > 0 {
 		before = r.history[n-1]
 	}
-	value, _ := number(body)
+	value, _ := consumeNumber(body)
 	r.history = append(r.history, value)
 	return protowire.AppendVarint(protowire.AppendVarint(nil, before), index)
 }
@@ -59,7 +60,7 @@
 	r.history = nil
 	for len(data) > 0 {
 		var v uint64
-		v, data = number(data)
+		v, data = consumeNumber(data)
 		r.history = append(r.history, v)
 	}
 	return nil
@@ -71,22 +72,22 @@
 	return slices.Clone(r.history)
 }
 
-// vm is one VM of a test: a listener that stays, and a replica that may be
-// restarted on the same folder.
+// vm is one VM of a test. Its replica may be stopped and restarted with the same
+// address and folder.
 type vm struct {
-	name    string
-	spare   bool
-	folder  string
-	address string
-	mux     *http.ServeMux
-	server  *http.Server
-	replica *Replica
-	log     *Log
-	state   *register
-	// broken makes every sync of the VM's disk fail.
-	broken atomic.Bool
-	cancel context.CancelFunc
-	duties sync.WaitGroup
+	name     string
+	nonVoter bool
+	folder   string
+	address  string
+	mux      *http.ServeMux
+	server   *http.Server
+	replica  *Replica
+	log      *Log
+	state    *register
+	// failSync makes every disk sync of the VM fail.
+	failSync   atomic.Bool
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 type cluster struct {
@@ -94,11 +95,11 @@
 	members raft.Membership
 	vms     []*vm
 	client  *http.Client
-	faults  *lossy
+	faults  *lossyTransport
 }
 
 func newCluster(tb testing.TB, size int) *cluster {
-	faults := &lossy{next: &http.Transport{MaxIdleConnsPerHost: 64}}
+	faults := &lossyTransport{base: &http.Transport{MaxIdleConnsPerHost: 64}}
 	c := &cluster{tb: tb, client: &http.Client{Transport: faults}, faults: faults}
 	addresses := make(map[string]string)
 	var listeners []net.Listener
@@ -120,7 +121,7 @@
 		for _, v := range c.vms {
 			v.stop()
 		}
-		faults.next.CloseIdleConnections()
+		faults.base.CloseIdleConnections()
 	})
 	return c
 }
@@ -131,9 +132,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
 	v.state = &register{}
-	start := func(f func(context.Context)) { v.duties.Go(func() { f(ctx) }) }
+	start := func(f func(context.Context)) { v.goroutines.Go(func() { f(ctx) }) }
 	bootstrap := c.members
-	if v.spare {
+	if v.nonVoter {
 		bootstrap = nil
 	}
 	r, err := Open(Config{
@@ -153,33 +154,33 @@
 	calls := raftv1.NewLogServiceServer(Server{r})
 	v.mux.Handle(calls.PathPrefix(), calls)
 	v.server = &http.Server{Handler: v.mux}
-	v.duties.Go(func() { _ = v.server.Serve(l) })
+	v.goroutines.Go(func() { _ = v.server.Serve(l) })
 	start(r.Run)
 }
 
-// open opens a file whose syncs fail while the disk is broken.
+// open opens a file whose syncs fail while failSync is set.
 func (v *vm) open(name string, flag int) (disk.File, error) {
 	f, err := os.OpenFile(name, flag|os.O_CREATE, 0o600)
-	return breakable{f, &v.broken}, err
+	return syncFaultFile{f, &v.failSync}, err
 }
 
-type breakable struct {
+type syncFaultFile struct {
 	disk.File
-	broken *atomic.Bool
+	failSync *atomic.Bool
 }
 
-func (b breakable) Sync() error {
-	if b.broken.Load() {
+func (b syncFaultFile) Sync() error {
+	if b.failSync.Load() {
 		return syscall.EIO
 	}
 	return b.File.Sync()
 }
 
-// stop ends a VM at once, as a crash would.
+// stop stops a VM without a leadership transfer, to simulate a crash.
 func (v *vm) stop() {
 	v.cancel()
 	_ = v.server.Close()
-	v.duties.Wait()
+	v.goroutines.Wait()
 }
 
 func (c *cluster) restart(v *vm) {
@@ -215,13 +216,13 @@
 	return out
 }
 
-// add starts a VM that is not a voter yet.
-func (c *cluster) add(name string) *vm {
+// addNonVoter starts a VM that is not a member yet.
+func (c *cluster) addNonVoter(name string) *vm {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		c.tb.Fatal(err)
 	}
-	v := &vm{name: name, folder: c.tb.TempDir(), address: l.Addr().String(), spare: true}
+	v := &vm{name: name, folder: c.tb.TempDir(), address: l.Addr().String(), nonVoter: true}
 	c.vms = append(c.vms, v)
 	c.start(v, l)
 	return v
--- a/internal/adapter/replica/forwarder.go
+++ b/internal/adapter/replica/forwarder.go
@@ -8,15 +8,17 @@
 	raftv1 "github.com/cuminwing/cuminwing/proto/raft/v1"
 )
 
-// Forwarder serves the log calls of operators' tools on any VM.
+// Forwarder serves the control log calls of operator tools on any VM, and
+// forwards them to the leader where necessary.
 type Forwarder struct {
 	Log *Log
 	VM  string
 }
 
-// Propose implements raftv1.LogService; tools use typed calls instead.
+// Propose implements raftv1.LogService. It always fails: operator tools use typed
+// calls instead.
 func (f Forwarder) Propose(context.Context, *raftv1.ProposeRequest) (*raftv1.ProposeResponse, error) {
-	return nil, twirp.NewError(twirp.Unimplemented, "commands are proposed by VMs only")
+	return nil, twirp.NewError(twirp.Unimplemented, "only VMs can propose commands to the control log")
 }
 
 // Barrier implements raftv1.LogService.
@@ -28,7 +30,8 @@
 	return &raftv1.BarrierResponse{Outcome: raftv1.Outcome_OUTCOME_DONE, Index: index}, nil
 }
 
-// GetStatus implements raftv1.LogService with the view of this VM.
+// GetStatus implements raftv1.LogService. It returns the status as this VM knows
+// it, without a call to the leader.
 func (f Forwarder) GetStatus(ctx context.Context, request *raftv1.GetStatusRequest) (*raftv1.GetStatusResponse, error) {
 	if f.Log.Replica != nil {
 		return Server{f.Log.Replica}.GetStatus(ctx, request)
@@ -39,7 +42,7 @@
 
 // ChangeMembers implements raftv1.LogService.
 func (f Forwarder) ChangeMembers(ctx context.Context, request *raftv1.ChangeMembersRequest) (*raftv1.ChangeMembersResponse, error) {
-	if err := checkChange(request); err != nil {
+	if err := validateChange(request); err != nil {
 		return nil, err
 	}
 	err := f.Log.ChangeMembers(ctx, request)
@@ -50,13 +53,13 @@
 	return response, nil
 }
 
-func checkChange(request *raftv1.ChangeMembersRequest) error {
-	_, known := changes[request.GetChange()]
+func validateChange(request *raftv1.ChangeMembersRequest) error {
+	_, known := changeKinds[request.GetChange()]
 	switch {
 	case request.GetChange() == raftv1.Change_CHANGE_TRANSFER:
 		return nil
 	case !known:
-		return twirp.InvalidArgumentError("change", "is not known")
+		return twirp.InvalidArgumentError("change", "is not a known membership change")
 	case request.GetVm() == "":
 		return twirp.RequiredArgumentError("vm")
 	case request.GetChange() == raftv1.Change_CHANGE_ADD_LEARNER && request.GetAddress() == "":
--- a/internal/adapter/replica/linear_test.go
+++ b/internal/adapter/replica/linear_test.go
@@ -18,47 +18,49 @@
 	"github.com/cuminwing/cuminwing/internal/control"
 )
 
-// lossy loses some requests before and some answers after they were handled.
-type lossy struct {
-	next *http.Transport
-	on   atomic.Bool
+// lossyTransport drops some requests before they are sent, and some responses to
+// Propose calls after the call was handled.
+type lossyTransport struct {
+	base    *http.Transport
+	enabled atomic.Bool
 }
 
-var errLost = errors.New("lost by the test")
+var errInjectedLoss = errors.New("request or response dropped by the test")
 
-func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
-	if !l.on.Load() {
-		return l.next.RoundTrip(r)
+func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if !l.enabled.Load() {
+		return l.base.RoundTrip(r)
 	}
 	chance := rand.IntN(100)
 	if chance < 5 {
-		return nil, errLost
+		return nil, errInjectedLoss
 	}
-	response, err := l.next.RoundTrip(r)
+	response, err := l.base.RoundTrip(r)
 	if err == nil && chance < 15 && strings.Contains(r.URL.Path, "Propose") {
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
-		return nil, errLost
+		return nil, errInjectedLoss
 	}
 	return response, err
 }
 
-// operation is one call of a client.
+// operation is one Propose call by a client, with its result.
 type operation struct {
-	value         uint64
-	start, end    time.Time
-	before, index uint64
-	err           error
+	value           uint64
+	start, end      time.Time
+	previous, index uint64
+	err             error
 }
 
-// Guards against proposals that take effect twice, after they were reported
-// as not committed, outside the time of their call, or with an answer of
-// another state, over a leader crash, a transfer, and lost answers.
+// Guards against violations of linearizability during a failed disk sync on the
+// leader, a leadership transfer, and lost requests and responses. A proposal must
+// not take effect twice, after it was reported as not committed, or before or
+// after its call, and its response must match the state at its log index.
 func TestLinearizable(t *testing.T) {
 	const clients, calls = 6, 40
 	c := newCluster(t, 3)
 	propose(t, c.vms[0], 1)
-	c.faults.on.Store(true)
+	c.faults.enabled.Store(true)
 	var wg sync.WaitGroup
 	var finished atomic.Int64
 	results := make([][]operation, clients)
@@ -66,44 +68,45 @@
 		wg.Go(func() {
 			for j := range calls {
 				value := uint64(2 + i*calls + j)
-				results[i] = append(results[i], callOnce(c.vms[i%3].log, value))
+				results[i] = append(results[i], proposeOnce(c.vms[i%3].log, value))
 				finished.Add(1)
 			}
 		})
 	}
-	waitFor(&finished, clients*calls/3)
+	waitForCount(&finished, clients*calls/3)
 	crashed := c.leader(c.vms...)
-	crashed.replica.post(func() { crashed.broken.Store(true) })
-	waitFor(&finished, clients*calls*2/3)
+	crashed.replica.enqueue(func() { crashed.failSync.Store(true) })
+	waitForCount(&finished, clients*calls*2/3)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	_ = c.leader(c.others(crashed)...).replica.Transfer(ctx)
 	cancel()
 	wg.Wait()
-	c.faults.on.Store(false)
+	c.faults.enabled.Store(false)
 	propose(t, c.others(crashed)[0], 1<<40)
 	checkHistory(t, slices.Concat(results...), c.others(crashed)[0].state.values())
 }
 
-func waitFor(counter *atomic.Int64, count int64) {
+func waitForCount(counter *atomic.Int64, count int64) {
 	for counter.Load() < count {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func callOnce(log *Log, value uint64) operation {
+func proposeOnce(log *Log, value uint64) operation {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	o := operation{value: value, start: time.Now()}
 	answer, err := log.Propose(ctx, control.KindClaims, protowire.AppendVarint(nil, value))
 	o.end, o.err = time.Now(), err
 	if err == nil {
-		o.before, answer = number(answer)
-		o.index, _ = number(answer)
+		o.previous, answer = consumeNumber(answer)
+		o.index, _ = consumeNumber(answer)
 	}
 	return o
 }
 
-// checkHistory verifies that the order of the log explains every answer.
+// checkHistory checks that the results of all operations are consistent with the
+// order of the log.
 func checkHistory(t *testing.T, operations []operation, history []uint64) {
 	t.Helper()
 	position := make(map[uint64]int)
@@ -118,10 +121,10 @@
 	for _, o := range operations {
 		at, applied := position[o.value]
 		switch {
-		case o.err == nil && (!applied || history[at-1] != o.before):
-			t.Fatalf("command %d was answered with %d, which the log does not explain", o.value, o.before)
+		case o.err == nil && (!applied || history[at-1] != o.previous):
+			t.Fatalf("command %d returned previous value %d, which does not match the log", o.value, o.previous)
 		case errors.Is(o.err, control.ErrNotCommitted) && applied:
-			t.Fatalf("command %d took effect after %v", o.value, o.err)
+			t.Fatalf("command %d took effect although its call returned %v", o.value, o.err)
 		case o.err == nil:
 			done = append(done, o)
 		case errors.Is(o.err, control.ErrUncertain):
--- a/internal/adapter/replica/log.go
+++ b/internal/adapter/replica/log.go
@@ -18,41 +18,43 @@
 )
 
 const (
-	// callTimeout bounds calls whose caller sets no deadline. It outlasts a
-	// fail-over.
-	callTimeout = 5 * time.Second
-	// attemptTimeout bounds one barrier call to one VM, so that a connection
-	// that went silent does not use up the caller's time.
+	// defaultCallTimeout bounds calls whose context has no deadline. It is
+	// longer than a failover takes.
+	defaultCallTimeout = 5 * time.Second
+	// attemptTimeout bounds a single barrier or status call to one VM, so that
+	// an unresponsive connection does not use up the caller's deadline.
 	attemptTimeout = ElectionTimeout
-	retryPause     = 20 * time.Millisecond
-	// leaderMaxAge is how old the leader known to a VM without a replica may
-	// grow before it asks again.
-	leaderMaxAge = time.Second
+	// retryDelay is the delay between two attempts of a call.
+	retryDelay = 20 * time.Millisecond
+	// maxLeaderAge is the age at which a VM without an active replica refreshes
+	// what it knows about the leader.
+	maxLeaderAge = time.Second
 )
 
-// Log implements control.Log on any VM. It uses the VM's own replica where
-// that leads, and forwards to the leader otherwise.
+// Log implements control.Log on any VM. It calls the VM's own replica if that is
+// the leader, and forwards calls to the leader otherwise.
 type Log struct {
-	// Replica is nil on a VM without one.
+	// Replica is the replica on this VM, or nil if it has none.
 	Replica *Replica
-	// Voters is the first voter set, asked while no leader is known.
+	// Voters is the initial voter set. Log calls these voters in turn while no
+	// leader is known.
 	Voters raft.Membership
-	// URL returns the base URL of an address.
+	// URL returns the base URL for an address.
 	URL func(address string) string
-	// Client sends the calls.
+	// Client sends the forwarded calls.
 	Client *http.Client
 
-	mu      sync.Mutex
-	leader  raft.Member
-	learned time.Time
-	next    int
-	asking  atomic.Bool
+	mu            sync.Mutex
+	leader        raft.Member
+	leaderUpdated time.Time
+	nextVoter     int
+	refreshing    atomic.Bool
 }
 
 var _ control.Log = (*Log)(nil)
 
-// attempt is the result of one call to one VM.
-type attempt struct {
+// callResult is the result of one call to one replica.
+type callResult struct {
 	outcome raftv1.Outcome
 	answer  []byte
 	index   uint64
@@ -60,82 +62,86 @@
 	reason  string
 }
 
-// call asks the replica at an address, or the own one if service is local.
-type call func(ctx context.Context, service raftv1.LogService) (attempt, error)
+// logCall makes one call to a replica through service, which is either a client
+// for another VM or the Server of the local replica.
+type logCall func(ctx context.Context, service raftv1.LogService) (callResult, error)
 
 // Propose implements control.Log.
 func (l *Log) Propose(ctx context.Context, kind control.Kind, body []byte) ([]byte, error) {
 	request := &raftv1.ProposeRequest{Kind: uint32(kind), Body: body}
-	result, err := l.untilDecided(ctx, func(ctx context.Context, s raftv1.LogService) (attempt, error) {
+	result, err := l.callUntilOutcome(ctx, func(ctx context.Context, s raftv1.LogService) (callResult, error) {
 		r, err := s.Propose(ctx, request)
-		return attempt{r.GetOutcome(), r.GetAnswer(), 0, r.GetLeader(), r.GetReason()}, err
+		return callResult{r.GetOutcome(), r.GetAnswer(), 0, r.GetLeader(), r.GetReason()}, err
 	})
 	return result.answer, err
 }
 
-// ChangeMembers asks the leader for a membership change.
+// ChangeMembers requests a membership change from the leader.
 func (l *Log) ChangeMembers(ctx context.Context, request *raftv1.ChangeMembersRequest) error {
-	_, err := l.untilDecided(ctx, func(ctx context.Context, s raftv1.LogService) (attempt, error) {
+	_, err := l.callUntilOutcome(ctx, func(ctx context.Context, s raftv1.LogService) (callResult, error) {
 		r, err := s.ChangeMembers(ctx, request)
-		return attempt{r.GetOutcome(), nil, 0, r.GetLeader(), r.GetReason()}, err
+		return callResult{r.GetOutcome(), nil, 0, r.GetLeader(), r.GetReason()}, err
 	})
 	return err
 }
 
-// untilDecided repeats a call while it certainly had no effect.
-func (l *Log) untilDecided(ctx context.Context, f call) (attempt, error) {
-	ctx, cancel := withDeadline(ctx)
+// callUntilOutcome retries a call for as long as it is certain that the previous
+// attempt had no effect.
+func (l *Log) callUntilOutcome(ctx context.Context, f logCall) (callResult, error) {
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	for {
 		if err := ctx.Err(); err != nil {
-			return attempt{}, fmt.Errorf("%w: no leader was reached: %w", control.ErrNotCommitted, err)
+			return callResult{}, fmt.Errorf("%w: no leader could be reached: %w", control.ErrNotCommitted, err)
 		}
-		result, sent, err := l.ask(ctx, f)
+		result, sent, err := l.callReplica(ctx, f)
 		switch {
 		case err != nil && sent:
-			return attempt{}, fmt.Errorf("%w: %w", control.ErrUncertain, err)
+			return callResult{}, fmt.Errorf("%w: %w", control.ErrUncertain, err)
 		case err != nil || result.outcome == raftv1.Outcome_OUTCOME_NOT_LEADER:
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryDelay)
 		case result.outcome == raftv1.Outcome_OUTCOME_DONE:
 			return result, nil
 		case result.outcome == raftv1.Outcome_OUTCOME_NOT_COMMITTED:
-			return attempt{}, fmt.Errorf("%w: %s", control.ErrNotCommitted, result.reason)
+			return callResult{}, fmt.Errorf("%w: %s", control.ErrNotCommitted, result.reason)
 		default:
-			return attempt{}, fmt.Errorf("%w: %s", control.ErrUncertain, result.reason)
+			return callResult{}, fmt.Errorf("%w: %s", control.ErrUncertain, result.reason)
 		}
 	}
 }
 
-func withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, callTimeout)
+	return context.WithTimeout(ctx, defaultCallTimeout)
 }
 
-// ask makes one call. It also reports whether the call may have left this VM.
-func (l *Log) ask(ctx context.Context, f call) (attempt, bool, error) {
+// callReplica makes one call to the local replica if it leads, and otherwise to
+// the address from chooseAddress. It also reports whether the request may have
+// reached a replica.
+func (l *Log) callReplica(ctx context.Context, f logCall) (callResult, bool, error) {
 	if l.Replica != nil && l.Replica.Status().Role == raft.Leader {
 		result, err := f(ctx, Server{l.Replica})
 		return result, true, err
 	}
-	address := l.target()
+	address := l.chooseAddress()
 	var connected atomic.Bool
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	tracedCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	result, err := f(traced, raftv1.NewLogServiceProtobufClient(l.URL(address), l.Client))
+	result, err := f(tracedCtx, raftv1.NewLogServiceProtobufClient(l.URL(address), l.Client))
 	if err != nil {
-		l.forgetLeader(address)
+		l.clearLeader(address)
 		return result, connected.Load(), err
 	}
-	l.learn(result.leader, address)
+	l.updateLeader(result.leader, address)
 	return result, true, nil
 }
 
-// target returns the address of the leader, or while none is known those of
-// the voters in turn.
-func (l *Log) target() string {
+// chooseAddress returns the address of the leader. While no leader is known, it
+// returns the addresses of the voters in turn.
+func (l *Log) chooseAddress() string {
 	if l.Replica != nil {
 		status := l.Replica.Status()
 		if member, ok := status.Members.Find(status.Leader); ok {
@@ -147,23 +153,23 @@
 	if l.leader.Address != "" {
 		return l.leader.Address
 	}
-	l.next++
-	return l.Voters[l.next%len(l.Voters)].Address
+	l.nextVoter++
+	return l.Voters[l.nextVoter%len(l.Voters)].Address
 }
 
-// learn notes what the VM at an address said about the leader.
-func (l *Log) learn(leader *raftv1.Member, asked string) {
+// updateLeader records the leader that the VM at address responder reported.
+func (l *Log) updateLeader(leader *raftv1.Member, responder string) {
 	if leader.GetAddress() == "" {
-		l.forgetLeader(asked)
+		l.clearLeader(responder)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leader = raft.Member{ID: leader.GetId(), Address: leader.GetAddress()}
-	l.learned = time.Now()
+	l.leaderUpdated = time.Now()
 }
 
-func (l *Log) forgetLeader(address string) {
+func (l *Log) clearLeader(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader.Address == address {
@@ -173,26 +179,26 @@
 
 // Barrier implements control.Log.
 func (l *Log) Barrier(ctx context.Context) (uint64, error) {
-	ctx, cancel := withDeadline(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	for {
-		index, err := l.barrierOnce(ctx)
+		index, err := l.barrierAttempt(ctx)
 		if err == nil {
 			return index, nil
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("barrier on the control log: %w", errors.Join(ctx.Err(), err))
+			return 0, fmt.Errorf("control log: barrier failed: %w", errors.Join(ctx.Err(), err))
 		}
 	}
 }
 
-func (l *Log) barrierOnce(ctx context.Context) (uint64, error) {
-	once, cancel := context.WithTimeout(ctx, attemptTimeout)
+func (l *Log) barrierAttempt(ctx context.Context) (uint64, error) {
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	result, _, err := l.ask(once, func(ctx context.Context, s raftv1.LogService) (attempt, error) {
+	result, _, err := l.callReplica(attemptCtx, func(ctx context.Context, s raftv1.LogService) (callResult, error) {
 		r, err := s.Barrier(ctx, &raftv1.BarrierRequest{})
-		return attempt{r.GetOutcome(), nil, r.GetIndex(), r.GetLeader(), ""}, err
+		return callResult{r.GetOutcome(), nil, r.GetIndex(), r.GetLeader(), ""}, err
 	})
 	if err == nil && result.outcome != raftv1.Outcome_OUTCOME_DONE {
 		err = ErrNotLeader
@@ -200,14 +206,15 @@
 	if err != nil {
 		return 0, err
 	}
-	if l.member() {
+	if l.hasActiveReplica() {
 		return result.index, l.Replica.WaitApplied(ctx, result.index)
 	}
 	return result.index, nil
 }
 
-// member reports whether this VM's own state follows the log.
-func (l *Log) member() bool {
+// hasActiveReplica reports whether this VM has a replica that is a member and
+// has not failed, so that the VM's own state follows the log.
+func (l *Log) hasActiveReplica() bool {
 	if l.Replica == nil {
 		return false
 	}
@@ -218,32 +225,33 @@
 
 // Leader implements control.Log.
 func (l *Log) Leader() (string, bool) {
-	if l.member() {
+	if l.hasActiveReplica() {
 		leader := l.Replica.Status().Leader
 		return leader, leader != ""
 	}
 	l.mu.Lock()
-	leader, age := l.leader.ID, time.Since(l.learned)
+	leader, age := l.leader.ID, time.Since(l.leaderUpdated)
 	l.mu.Unlock()
-	if age > leaderMaxAge && len(l.Voters) > 0 && l.asking.CompareAndSwap(false, true) {
-		go l.refresh()
+	if age > maxLeaderAge && len(l.Voters) > 0 && l.refreshing.CompareAndSwap(false, true) {
+		go l.refreshLeader()
 	}
 	return leader, leader != ""
 }
 
-// refresh asks a voter who leads.
-func (l *Log) refresh() {
-	defer l.asking.Store(false)
+// refreshLeader queries the last known leader, or one of the voters, for the
+// current leader.
+func (l *Log) refreshLeader() {
+	defer l.refreshing.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
-	_, _, _ = l.ask(ctx, func(ctx context.Context, s raftv1.LogService) (attempt, error) {
+	_, _, _ = l.callReplica(ctx, func(ctx context.Context, s raftv1.LogService) (callResult, error) {
 		r, err := s.GetStatus(ctx, &raftv1.GetStatusRequest{})
 		for _, m := range r.GetMembers() {
 			if m.GetMember().GetId() == r.GetLeader() {
-				return attempt{leader: m.GetMember()}, err
+				return callResult{leader: m.GetMember()}, err
 			}
 		}
-		return attempt{}, err
+		return callResult{}, err
 	})
 }
 
--- a/internal/adapter/replica/replica.go
+++ b/internal/adapter/replica/replica.go
@@ -1,5 +1,6 @@
-// Package replica runs one replica of the control log: it drives the
-// consensus core with the disk, the peers and the state machine.
+// Package replica runs one replica of the control log. It connects the Raft
+// implementation in package raft to the disk, the other replicas and the state
+// machine.
 package replica
 
 import (
@@ -18,65 +19,79 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// Timing and bounds of a replica.
+// Timeouts and limits of a replica.
 const (
-	// ElectionTimeout is how long followers support a leader they last heard
-	// from; it bounds how long a fail-over waits. It is ten round trips
-	// between regions, and covers a sync that takes 25 times as long as usual.
+	// ElectionTimeout is how long followers support a leader after its last
+	// message, and thereby bounds how long a failover waits. It equals ten
+	// round trips between regions, and is long enough for a disk sync that
+	// takes 25 times as long as usual.
 	ElectionTimeout   = 600 * time.Millisecond
 	heartbeatInterval = 150 * time.Millisecond
 	tickInterval      = 50 * time.Millisecond
 
-	maxAppendBytes   = 256 << 10
-	maxInflight      = 4096
-	maxUncommitted   = 16384
-	chunkBytes       = 256 << 10
-	inboxCapacity    = 4096
-	maxBatch         = 1024
-	snapshotEntries  = 4096
-	snapshotMinBytes = 8 << 20
-	// retainEntries stay in memory after a snapshot for slow followers.
+	// maxAppendBytes bounds the entry data in one append message.
+	maxAppendBytes = 256 << 10
+	// maxInflight bounds the entries sent to a replica but not acknowledged.
+	maxInflight = 4096
+	// maxUncommitted bounds the entries of a leader that are not committed.
+	maxUncommitted = 16384
+	// snapshotChunkBytes bounds the snapshot data in one message.
+	snapshotChunkBytes = 256 << 10
+	// taskQueueCapacity bounds the tasks queued for the goroutine of Run.
+	taskQueueCapacity = 4096
+	// maxTaskBatch bounds the further tasks that share one disk sync.
+	maxTaskBatch = 1024
+	// minSnapshotEntries is the number of applied entries after which a
+	// snapshot is due, unless the commands since the last snapshot take less
+	// than a quarter of its size.
+	minSnapshotEntries = 4096
+	// minSnapshotLogBytes is the total size of commands after which a snapshot
+	// is due at any number of entries, unless the last snapshot was larger.
+	minSnapshotLogBytes = 8 << 20
+	// retainEntries is the number of entries before a snapshot that stay in
+	// memory for slow followers.
 	retainEntries = 2048
-	// logFolder is the folder of the control log in the data folder.
+	// logFolder is the folder for the control log within the data folder.
 	logFolder = "control"
 )
 
-// Transport sends messages to other replicas. It may drop them, and must not
-// block.
+// Transport sends messages to other replicas. Send may drop messages and must
+// not block.
 type Transport interface {
 	Send(address string, messages []raft.Message)
 }
 
-// Config holds what a replica needs.
+// Config configures a replica.
 type Config struct {
 	ID string
-	// Folder is the data folder of the VM.
+	// Folder is the data folder of this VM.
 	Folder string
 	Disk   disk.Options
-	// Bootstrap is the first voter set. It is used only while the folder is
-	// empty, and is empty for a VM that waits to be added as a learner.
+	// Bootstrap is the initial voter set. It is used only while the folder is
+	// empty. It must be empty for a VM that will be added as a learner.
 	Bootstrap raft.Membership
 	Parts     map[control.Kind]control.Part
 	Transport Transport
-	// Clock is the wall clock that stamps commands.
+	// Clock returns the wall-clock time for the timestamps of commands.
 	Clock func() time.Time
-	// Steady is the clock of elections and leases; nil takes the monotonic
-	// clock, which stops while a machine is suspended.
+	// Steady is the clock for elections and leases. If it is nil, the replica
+	// uses Go's monotonic clock, which stops while the machine is suspended.
 	Steady func() time.Duration
-	// OnChange is called when role, leader or failure change. It must not
-	// block. It may be nil.
+	// OnChange is called when the role, the leader or the failure changes. It
+	// must not block. It may be nil.
 	OnChange func(Status)
 }
 
-// Status is a view of a replica.
+// Status is the status of a replica at one point in time.
 type Status struct {
 	raft.Status
-	// Failure is the error after which the replica makes no more promises.
+	// Failure is the error that made the replica stop, or nil. After it, the
+	// replica neither votes nor acknowledges entries.
 	Failure error
 }
 
-// writeResult tells that a snapshot was written, or not.
-type writeResult struct {
+// snapshotResult is the result of writing a snapshot in the background.
+type snapshotResult struct {
 	meta raft.SnapshotMeta
 	err  error
 }
@@ -84,129 +99,135 @@
 // Replica is one replica of the control log.
 type Replica struct {
 	config  Config
-	core    *raft.Node
+	node    *raft.Node
 	store   *disk.Store
 	machine *control.Machine
 	started time.Time
-	inbox   chan func()
+	tasks   chan func()
 	stopped chan struct{}
 
-	// The goroutine of Run owns these.
-	queue     []*proposal
-	pending   map[uint64][]*proposal
-	reads     map[uint64]*waiter
-	lastRead  uint64
-	waiting   []*waiter
-	addresses map[string]string
-	snapshot  raft.SnapshotMeta
-	// applied is the last entry that the state machine contains.
-	applied uint64
-	// logged is the number of command bytes since the snapshot.
-	logged int
-	// writing is set while a snapshot is written in the background.
-	writing    bool
-	written    chan writeResult
-	background sync.WaitGroup
-
-	// lease is the monotonic time at which the lease ends; 0 without one.
-	lease  atomic.Int64
-	mu     sync.Mutex
-	status Status
+	// Only the goroutine of Run accesses these fields.
+	queuedProposals  []*proposal
+	pendingProposals map[uint64][]*proposal
+	pendingReads     map[uint64]*indexWaiter
+	lastReadID       uint64
+	waiters          []*indexWaiter
+	senderAddresses  map[string]string
+	snapshot         raft.SnapshotMeta
+	// appliedIndex is the index of the last entry applied to the state
+	// machine.
+	appliedIndex uint64
+	// bytesSinceSnapshot is the total size of the commands applied since the
+	// last snapshot was started or installed.
+	bytesSinceSnapshot int
+	// writingSnapshot is true while a snapshot is written in the background.
+	writingSnapshot bool
+	snapshotDone    chan snapshotResult
+	background      sync.WaitGroup
+
+	// leaseEnd is the electionTime at which the leader lease expires, or 0
+	// without a lease.
+	leaseEnd atomic.Int64
+	mu       sync.Mutex
+	status   Status
 }
 
-// Open reads the replica's files. Run must be called next.
+// Open loads the replica's state from disk. The caller must then call Run.
 func Open(config Config) (*Replica, error) {
 	store, stored, data, err := disk.Open(filepath.Join(config.Folder, logFolder), config.Disk)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		config:    config,
-		store:     store,
-		machine:   control.NewMachine(config.Parts),
-		started:   time.Now(),
-		inbox:     make(chan func(), inboxCapacity),
-		stopped:   make(chan struct{}),
-		written:   make(chan writeResult),
-		pending:   make(map[uint64][]*proposal),
-		reads:     make(map[uint64]*waiter),
-		addresses: make(map[string]string),
+		config:           config,
+		store:            store,
+		machine:          control.NewMachine(config.Parts),
+		started:          time.Now(),
+		tasks:            make(chan func(), taskQueueCapacity),
+		stopped:          make(chan struct{}),
+		snapshotDone:     make(chan snapshotResult),
+		pendingProposals: make(map[uint64][]*proposal),
+		pendingReads:     make(map[uint64]*indexWaiter),
+		senderAddresses:  make(map[string]string),
 	}
 	if err := r.restore(&stored, data); err != nil {
 		return nil, errors.Join(err, store.Close())
 	}
-	r.core = raft.New(raft.Config{
+	r.node = raft.New(raft.Config{
 		ID:                config.ID,
 		ElectionTimeout:   ElectionTimeout,
 		HeartbeatInterval: heartbeatInterval,
-		Clock:             r.monotonic,
+		Clock:             r.electionTime,
 		Rand:              rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		MaxAppendBytes:    maxAppendBytes,
 		MaxInflight:       maxInflight,
 		MaxUncommitted:    maxUncommitted,
 	}, stored)
-	r.publish()
+	r.publishStatus()
 	return r, nil
 }
 
 func (r *Replica) restore(stored *raft.Stored, data []byte) error {
 	if len(data) > 0 {
 		if err := r.machine.Restore(data); err != nil {
-			return fmt.Errorf("restore state machine: %w", err)
+			return fmt.Errorf("restore state machine from the stored snapshot: %w", err)
 		}
 	}
 	if stored.Snapshot.Index == 0 && stored.Snapshot.Members == nil && len(r.config.Bootstrap) > 0 {
-		// The first voter set must not follow later edits of the settings.
+		// Store the initial voter set, so that later edits of the settings do
+		// not change it.
 		stored.Snapshot.Members = r.config.Bootstrap
 		if err := r.store.SaveSnapshot(raft.Snapshot{SnapshotMeta: stored.Snapshot}); err != nil {
 			return err
 		}
 	}
 	r.snapshot = stored.Snapshot
-	r.applied = stored.Snapshot.Index
+	r.appliedIndex = stored.Snapshot.Index
 	return nil
 }
 
-// monotonic is the clock of the core.
-func (r *Replica) monotonic() time.Duration {
+// electionTime returns the current time of the clock for elections and leases.
+func (r *Replica) electionTime() time.Duration {
 	if r.config.Steady != nil {
 		return r.config.Steady()
 	}
 	return time.Since(r.started)
 }
 
-// Run drives the replica until ctx ends, and closes the files.
+// Run runs the replica until ctx is done or the replica fails, and then closes
+// its files.
 func (r *Replica) Run(ctx context.Context) {
 	defer r.background.Wait()
 	defer close(r.stopped)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	r.core.Tick()
-	for r.process() {
+	r.node.Tick()
+	for r.processReady() {
 		select {
 		case <-ctx.Done():
-			r.stop(nil)
+			r.shutdown(nil)
 			return
 		case <-ticker.C:
-			r.core.Tick()
-		case w := <-r.written:
+			r.node.Tick()
+		case w := <-r.snapshotDone:
 			if err := r.finishSnapshot(w); err != nil {
-				r.stop(err)
+				r.shutdown(err)
 				return
 			}
-		case f := <-r.inbox:
+		case f := <-r.tasks:
 			f()
-			r.drain()
+			r.runQueuedTasks()
 		}
-		r.flush()
+		r.proposeQueued()
 	}
 }
 
-// drain handles what else is queued, so that one sync covers it.
-func (r *Replica) drain() {
-	for range maxBatch {
+// runQueuedTasks runs up to maxTaskBatch queued tasks, so that one disk sync
+// covers all of them.
+func (r *Replica) runQueuedTasks() {
+	for range maxTaskBatch {
 		select {
-		case f := <-r.inbox:
+		case f := <-r.tasks:
 			f()
 		default:
 			return
@@ -214,44 +235,47 @@
 	}
 }
 
-// process carries out all work of the core. It reports false after a failure.
-func (r *Replica) process() bool {
-	for r.core.HasReady() {
-		ready := r.core.Ready()
-		// A leader that has stepped down must not hold its lease any more
-		// when its successor hears of it.
+// processReady carries out all pending work of the Raft node and starts a
+// snapshot if one is due. It reports false after a failure.
+func (r *Replica) processReady() bool {
+	for r.node.HasReady() {
+		ready := r.node.Ready()
+		// A leader that has stepped down must give up its lease before its
+		// successor learns that it stepped down.
 		r.publishLease()
 		r.send(ready.Messages, false)
 		if err := r.store.Save(&ready); err != nil {
-			r.stop(err)
+			r.shutdown(err)
 			return false
 		}
 		r.send(ready.Messages, true)
-		if err := r.apply(&ready); err != nil {
-			r.stop(err)
+		if err := r.applyReady(&ready); err != nil {
+			r.shutdown(err)
 			return false
 		}
-		r.core.Advance()
+		r.node.Advance()
 	}
-	r.publish()
-	if err := r.compact(); err != nil {
-		r.stop(err)
+	r.publishStatus()
+	if err := r.maybeSnapshot(); err != nil {
+		r.shutdown(err)
 		return false
 	}
 	return true
 }
 
-// send hands over the messages that carry a promise, or those that do not.
-func (r *Replica) send(messages []raft.Message, promise bool) {
+// send passes messages to the transport. If afterSync is true, it sends only the
+// messages that must wait until Store.Save has synced the new state to disk;
+// otherwise it sends only the others.
+func (r *Replica) send(messages []raft.Message, afterSync bool) {
 	batches := make(map[string][]raft.Message)
 	for _, m := range messages {
-		if m.Promise() != promise {
+		if m.Promise() != afterSync {
 			continue
 		}
-		if m.Kind == raft.MsgSnapshot && !r.fillChunk(&m) {
+		if m.Kind == raft.MsgSnapshot && !r.loadSnapshotChunk(&m) {
 			continue
 		}
-		if address := r.address(m.To); address != "" {
+		if address := r.addressOf(m.To); address != "" {
 			batches[address] = append(batches[address], m)
 		}
 	}
@@ -260,35 +284,35 @@
 	}
 }
 
-func (r *Replica) fillChunk(m *raft.Message) bool {
-	data, ok := r.store.ReadChunk(m.Snapshot.Index, m.Offset, chunkBytes)
+func (r *Replica) loadSnapshotChunk(m *raft.Message) bool {
+	data, ok := r.store.ReadChunk(m.Snapshot.Index, m.Offset, snapshotChunkBytes)
 	m.Data = data
 	return ok
 }
 
-func (r *Replica) address(id string) string {
-	if member, ok := r.core.Members().Find(id); ok {
+func (r *Replica) addressOf(id string) string {
+	if member, ok := r.node.Members().Find(id); ok {
 		return member.Address
 	}
-	return r.addresses[id]
+	return r.senderAddresses[id]
 }
 
-func (r *Replica) apply(ready *raft.Ready) error {
+func (r *Replica) applyReady(ready *raft.Ready) error {
 	if s := ready.Snapshot; s != nil {
 		if err := r.machine.Restore(s.Data); err != nil {
-			return fmt.Errorf("restore snapshot %d: %w", s.Index, err)
+			return fmt.Errorf("restore state machine from the received snapshot at index %d: %w", s.Index, err)
 		}
 		r.snapshot = s.SnapshotMeta
-		r.applied = s.Index
-		r.logged = 0
-		r.forget(s.Index)
+		r.appliedIndex = s.Index
+		r.bytesSinceSnapshot = 0
+		r.failProposalsThrough(s.Index)
 	}
 	for _, e := range ready.Committed {
 		r.applyEntry(e)
 	}
-	r.wake()
+	r.notifyWaiters()
 	for _, state := range ready.Reads {
-		r.answerRead(state)
+		r.completeRead(state)
 	}
 	return nil
 }
@@ -297,51 +321,53 @@
 	var answer []byte
 	var err error
 	if e.Kind == raft.EntryCommand {
-		r.logged += len(e.Data)
+		r.bytesSinceSnapshot += len(e.Data)
 		answer, err = r.machine.Apply(e.Index, e.Data)
 	}
-	r.applied = e.Index
-	r.resolve(e, answer, err)
+	r.appliedIndex = e.Index
+	r.completeProposals(e, answer, err)
 }
 
-// compact starts a snapshot when the log has grown enough. A large state is
-// written less often, so that the log dominates what is written.
-func (r *Replica) compact() error {
-	entries := r.applied - r.snapshot.Index
+// maybeSnapshot starts a snapshot once the log has grown enough since the last
+// one. The larger the state, the more the log must grow, so that most bytes
+// written to disk are log entries rather than snapshots.
+func (r *Replica) maybeSnapshot() error {
+	entries := r.appliedIndex - r.snapshot.Index
 	size := int(r.snapshot.Size)
-	due := entries >= snapshotEntries && r.logged >= size/4 || r.logged >= max(snapshotMinBytes, size)
-	if !due || r.writing || r.core.SendingSnapshot() {
+	due := entries >= minSnapshotEntries && r.bytesSinceSnapshot >= size/4 || r.bytesSinceSnapshot >= max(minSnapshotLogBytes, size)
+	if !due || r.writingSnapshot || r.node.SendingSnapshot() {
 		return nil
 	}
 	return r.startSnapshot()
 }
 
-// startSnapshot encodes the state and writes it in the background, because a
-// long write would cost a leader its lease.
+// startSnapshot encodes the state and writes it to disk in the background, because
+// a long write on the goroutine of Run would cost a leader its lease.
 func (r *Replica) startSnapshot() error {
 	data, err := r.machine.Snapshot()
 	if err != nil {
 		return err
 	}
-	term, _ := r.core.TermAt(r.applied)
+	term, _ := r.node.TermAt(r.appliedIndex)
 	meta := raft.SnapshotMeta{
-		Index: r.applied, Term: term, Members: r.core.MembersAt(r.applied), Size: uint64(len(data)),
+		Index: r.appliedIndex, Term: term, Members: r.node.MembersAt(r.appliedIndex), Size: uint64(len(data)),
 	}
-	r.writing = true
-	r.logged = 0
+	r.writingSnapshot = true
+	r.bytesSinceSnapshot = 0
 	r.background.Go(func() {
 		err := r.store.WriteSnapshot(&raft.Snapshot{SnapshotMeta: meta, Data: data})
 		select {
-		case r.written <- writeResult{meta, err}:
+		case r.snapshotDone <- snapshotResult{meta, err}:
 		case <-r.stopped:
 		}
 	})
 	return nil
 }
 
-// finishSnapshot drops what a written snapshot makes superfluous.
-func (r *Replica) finishSnapshot(w writeResult) error {
-	r.writing = false
+// finishSnapshot makes a written snapshot the current one and removes the files
+// and log entries that it replaces.
+func (r *Replica) finishSnapshot(w snapshotResult) error {
+	r.writingSnapshot = false
 	if w.err != nil {
 		return w.err
 	}
@@ -349,35 +375,35 @@
 		return err
 	}
 	if w.meta.Index > r.snapshot.Index {
-		r.core.Compact(w.meta, retainEntries)
+		r.node.Compact(w.meta, retainEntries)
 		r.snapshot = w.meta
 	}
 	return nil
 }
 
-// stop ends all work. After a failure the replica neither votes nor
-// acknowledges until the process is restarted.
-func (r *Replica) stop(failure error) {
-	r.lease.Store(0)
-	r.abandon()
+// shutdown stops the replica. After a failure, the replica neither votes nor
+// acknowledges entries until the process is restarted.
+func (r *Replica) shutdown(failure error) {
+	r.leaseEnd.Store(0)
+	r.failAll()
 	r.setStatus(Status{
-		Status:  raft.Status{ID: r.config.ID, Term: r.core.Status().Term, Members: r.core.Members()},
+		Status:  raft.Status{ID: r.config.ID, Term: r.node.Status().Term, Members: r.node.Members()},
 		Failure: failure,
 	})
 	_ = r.store.Close()
 }
 
 func (r *Replica) publishLease() {
-	until, ok := r.core.LeaseUntil()
+	until, ok := r.node.LeaseUntil()
 	if !ok {
 		until = 0
 	}
-	r.lease.Store(int64(until))
+	r.leaseEnd.Store(int64(until))
 }
 
-func (r *Replica) publish() {
+func (r *Replica) publishStatus() {
 	r.publishLease()
-	r.setStatus(Status{Status: r.core.Status()})
+	r.setStatus(Status{Status: r.node.Status()})
 }
 
 func (r *Replica) setStatus(s Status) {
@@ -391,42 +417,44 @@
 	}
 }
 
-// Status returns the latest view of the replica.
+// Status returns the latest published status of the replica.
 func (r *Replica) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.status
 }
 
-// HoldsLease reports whether this replica leads and no other can lead now.
+// HoldsLease reports whether this replica leads and its lease guarantees that no
+// other replica leads now.
 func (r *Replica) HoldsLease() bool {
-	return int64(r.monotonic()) < r.lease.Load()
+	return int64(r.electionTime()) < r.leaseEnd.Load()
 }
 
-// post queues f for the goroutine of Run. It reports false if the queue is
-// full or the replica has stopped.
-func (r *Replica) post(f func()) bool {
+// enqueue queues f to run on the goroutine of Run. It reports false if the queue
+// is full or the replica has stopped.
+func (r *Replica) enqueue(f func()) bool {
 	select {
 	case <-r.stopped:
 		return false
 	default:
 	}
 	select {
-	case r.inbox <- f:
+	case r.tasks <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-// Step takes messages of another replica.
+// Step processes messages received from the replica at address. An empty address
+// leaves the known addresses unchanged.
 func (r *Replica) Step(address string, messages []raft.Message) {
-	r.post(func() {
+	r.enqueue(func() {
 		for _, m := range messages {
 			if address != "" {
-				r.addresses[m.From] = address
+				r.senderAddresses[m.From] = address
 			}
-			r.core.Step(m)
+			r.node.Step(m)
 		}
 	})
 }
--- a/internal/adapter/replica/replica_test.go
+++ b/internal/adapter/replica/replica_test.go
@@ -20,8 +20,9 @@
 
 const testTimeout = 30 * time.Second
 
-// propose commits a value. A call to a VM that crashes meanwhile may have an
-// uncertain outcome and is repeated, so the value may stand twice in the log.
+// propose commits a value. If the outcome of a call is uncertain, for example
+// because a VM crashes during the call, propose retries it, so the log may
+// contain the value more than once.
 func propose(t testing.TB, v *vm, value uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -37,7 +38,8 @@
 	}
 }
 
-// checkApplied expects the values in this order, each once or repeated.
+// checkApplied checks that v has applied the wanted values in this order. Each may
+// occur several times in a row.
 func checkApplied(t *testing.T, v *vm, want ...uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -50,8 +52,8 @@
 	}
 }
 
-// Guards against commands that are lost on the way through any VM, over a
-// leader crash, or over a restart of every voter.
+// Guards against losing commands that were proposed on any VM, across a leader
+// crash and a restart of all voters.
 func TestCommandsSurviveCrashes(t *testing.T) {
 	c := newCluster(t, 3)
 	for i, v := range c.vms {
@@ -59,8 +61,8 @@
 	}
 	leader := c.leader(c.vms...)
 	leader.stop()
-	rest := c.others(leader)
-	propose(t, rest[0], 4)
+	remaining := c.others(leader)
+	propose(t, remaining[0], 4)
 	c.restart(leader)
 	propose(t, leader, 5)
 	for _, v := range c.vms {
@@ -75,8 +77,8 @@
 	}
 }
 
-// Guards against a shutdown that leaves the log without a leader for an
-// election timeout.
+// Guards against the control log being without a leader for an election timeout
+// when the leader shuts down.
 func TestTransfer(t *testing.T) {
 	c := newCluster(t, 3)
 	leader := c.leader(c.vms...)
@@ -87,86 +89,89 @@
 		t.Fatal(err)
 	}
 	if leader.replica.HoldsLease() {
-		t.Fatal("the former leader holds the lease after the transfer")
+		t.Fatal("the former leader still holds the lease after the transfer")
 	}
 	propose(t, leader, 2)
 }
 
-// Guards against a repair that cannot be done: a learner joins, is promoted,
-// and a voter is removed.
+// Guards against a lost voter that cannot be replaced: adds a learner, promotes
+// it and removes a voter.
 func TestMembershipChange(t *testing.T) {
 	c := newCluster(t, 3)
 	leader := c.leader(c.vms...)
 	propose(t, leader, 1)
-	spare := c.add("vm-spare")
+	learner := c.addNonVoter("vm-spare")
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	change := func(kind raftv1.Change, v *vm) {
 		t.Helper()
 		request := &raftv1.ChangeMembersRequest{Change: kind, Vm: v.name, Address: v.address}
-		err := spare.log.ChangeMembers(ctx, request)
+		err := learner.log.ChangeMembers(ctx, request)
 		for err != nil && ctx.Err() == nil {
 			time.Sleep(10 * time.Millisecond)
-			err = spare.log.ChangeMembers(ctx, request)
+			err = learner.log.ChangeMembers(ctx, request)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	change(raftv1.Change_CHANGE_ADD_LEARNER, spare)
-	change(raftv1.Change_CHANGE_PROMOTE, spare)
-	gone := c.others(leader)[0]
-	change(raftv1.Change_CHANGE_REMOVE, gone)
-	gone.stop()
+	change(raftv1.Change_CHANGE_ADD_LEARNER, learner)
+	change(raftv1.Change_CHANGE_PROMOTE, learner)
+	removed := c.others(leader)[0]
+	change(raftv1.Change_CHANGE_REMOVE, removed)
+	removed.stop()
 	leader.stop()
-	propose(t, spare, 2)
-	checkApplied(t, spare, 1, 2)
-	c.restart(gone)
+	propose(t, learner, 2)
+	checkApplied(t, learner, 1, 2)
+	c.restart(removed)
 	c.restart(leader)
 }
 
-// Guards against a voter that goes on making promises after a failed sync.
+// Guards against a voter that keeps voting and acknowledging entries after a
+// failed disk sync.
 func TestFailedSync(t *testing.T) {
 	c := newCluster(t, 3)
 	leader := c.leader(c.vms...)
 	propose(t, leader, 1)
-	leader.broken.Store(true)
+	leader.failSync.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, err := leader.replica.Propose(ctx, control.KindClaims, []byte{2}); !errors.Is(err, control.ErrUncertain) {
 		t.Fatalf("got %v, want ErrUncertain", err)
 	}
 	if leader.replica.HoldsLease() || leader.replica.Status().Failure == nil {
-		t.Fatal("the voter goes on after a failed sync")
+		t.Fatal("the voter did not stop after a failed sync")
 	}
 	if _, err := leader.replica.Propose(ctx, control.KindClaims, []byte{3}); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("got %v, want ErrNotLeader", err)
 	}
 	propose(t, c.others(leader)[0], 4)
-	leader.broken.Store(false)
+	leader.failSync.Store(false)
 	leader.stop()
 	c.restart(leader)
 	propose(t, leader, 5)
 }
 
-// Guards against a wrong claim about a command whose forwarding failed.
+// Guards against reporting the wrong outcome for a command that could not be
+// forwarded: not committed if the connection failed, uncertain if only the
+// response was lost.
 func TestForwardingErrors(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = refused.Close()
-	silent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	aborting := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
-	defer silent.Close()
+	defer aborting.Close()
 	tests := []struct {
 		name    string
 		address string
 		want    error
 	}{
 		{"connection refused", refused.Addr().String(), control.ErrNotCommitted},
-		{"answer lost", silent.Listener.Addr().String(), control.ErrUncertain},
+		{"answer lost", aborting.Listener.Addr().String(), control.ErrUncertain},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -181,8 +186,8 @@
 	}
 }
 
-// Guards against a learner that cannot join once the entries it lacks are
-// compacted, and against a snapshot whose install loses state.
+// Guards against a learner that cannot join because the entries it lacks are
+// compacted, and against losing state when a snapshot is installed.
 func TestSnapshotInstall(t *testing.T) {
 	const commands = retainEntries + 500
 	c := newCluster(t, 1)
@@ -196,24 +201,24 @@
 		})
 	}
 	wg.Wait()
-	leader.replica.post(func() { _ = leader.replica.startSnapshot() })
+	leader.replica.enqueue(func() { _ = leader.replica.startSnapshot() })
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for leader.replica.Status().First == 1 && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	spare := c.add("vm-spare")
-	request := &raftv1.ChangeMembersRequest{Change: raftv1.Change_CHANGE_ADD_LEARNER, Vm: spare.name, Address: spare.address}
+	learner := c.addNonVoter("vm-spare")
+	request := &raftv1.ChangeMembersRequest{Change: raftv1.Change_CHANGE_ADD_LEARNER, Vm: learner.name, Address: learner.address}
 	if err := leader.log.ChangeMembers(ctx, request); err != nil {
 		t.Fatal(err)
 	}
-	for spare.replica.Status().Applied < leader.replica.Status().Applied && ctx.Err() == nil {
+	for learner.replica.Status().Applied < leader.replica.Status().Applied && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	if first := spare.replica.Status().First; first == 1 {
+	if first := learner.replica.Status().First; first == 1 {
 		t.Fatal("the learner was not sent a snapshot")
 	}
-	if !slices.Equal(spare.state.values(), leader.state.values()) {
-		t.Fatal("the states of leader and learner differ")
+	if !slices.Equal(learner.state.values(), leader.state.values()) {
+		t.Fatal("the state of the learner differs from that of the leader")
 	}
 }
--- a/internal/adapter/replica/server.go
+++ b/internal/adapter/replica/server.go
@@ -10,15 +10,16 @@
 	raftv1 "github.com/cuminwing/cuminwing/proto/raft/v1"
 )
 
-// Server serves the calls of other VMs on one replica.
+// Server serves calls from other VMs to one replica.
 type Server struct{ Replica *Replica }
 
 // Step implements raftv1.RaftService.
 func (s Server) Step(_ context.Context, request *raftv1.StepRequest) (*raftv1.StepResponse, error) {
 	messages := make([]raft.Message, 0, len(request.GetMessages()))
 	for _, m := range request.GetMessages() {
-		// A message that was meant for another replica at this address would
-		// be taken for a promise of its sender.
+		// Drop messages addressed to another replica that has used this
+		// address. This replica would count them as votes or acknowledgements
+		// that the sender gave to it.
 		if m.GetTo() == s.Replica.config.ID {
 			messages = append(messages, decodeMessage(m))
 		}
@@ -62,7 +63,7 @@
 	return response, nil
 }
 
-var changes = map[raftv1.Change]raft.ChangeKind{
+var changeKinds = map[raftv1.Change]raft.ChangeKind{
 	raftv1.Change_CHANGE_ADD_LEARNER: raft.AddLearner,
 	raftv1.Change_CHANGE_PROMOTE:     raft.Promote,
 	raftv1.Change_CHANGE_REMOVE:      raft.Remove,
@@ -74,7 +75,7 @@
 	if request.GetChange() == raftv1.Change_CHANGE_TRANSFER {
 		err = s.transfer(ctx)
 	} else {
-		kind := changes[request.GetChange()]
+		kind := changeKinds[request.GetChange()]
 		err = s.Replica.ChangeMembers(ctx, raft.Change{Kind: kind, ID: request.GetVm(), Address: request.GetAddress()})
 	}
 	response := &raftv1.ChangeMembersResponse{Outcome: outcomeOf(err), Leader: s.leader()}
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// leader describes the leader as this replica knows it.
+// leader returns the leader that this replica knows, or nil if it knows none.
 func (s Server) leader() *raftv1.Member {
 	status := s.Replica.Status()
 	if member, ok := status.Members.Find(status.Leader); ok {
--- a/internal/adapter/replica/transport.go
+++ b/internal/adapter/replica/transport.go
@@ -13,33 +13,37 @@
 )
 
 const (
-	// stepTimeout is shorter than the election timeout, so that one
-	// connection that went silent does not cost a leader its lease.
-	stepTimeout    = ElectionTimeout / 2
-	sendCapacity   = 1024
-	maxSendBatch   = 256
-	maxBatchBytes  = 1 << 20
-	pauseOnFailure = 50 * time.Millisecond
+	// stepTimeout bounds one request. It is shorter than the election timeout,
+	// so that an unresponsive connection does not cost a leader its lease.
+	stepTimeout = ElectionTimeout / 2
+	// sendQueueCapacity bounds the messages queued for one replica.
+	sendQueueCapacity = 1024
+	// maxBatchMessages bounds the messages in one request.
+	maxBatchMessages = 256
+	// maxBatchBytes is the payload size at which a request is complete.
+	maxBatchBytes = 1 << 20
+	// sendRetryDelay is the delay after a failed request.
+	sendRetryDelay = 50 * time.Millisecond
 )
 
-// Peers sends messages to other replicas over twirp, with one goroutine and
-// one request at a time for each.
+// Peers implements Transport over Twirp. For each replica it has one goroutine,
+// which sends one request at a time.
 type Peers struct {
-	// Self is the peer address of this VM.
+	// Self is the address at which other replicas reach this VM.
 	Self string
-	// URL returns the base URL of an address.
+	// URL returns the base URL for an address.
 	URL func(address string) string
 	// Client sends the requests.
 	Client *http.Client
-	// Start runs a goroutine until the VM stops.
+	// Start starts a goroutine whose context is cancelled when the VM stops.
 	Start func(func(context.Context))
 
-	mu    sync.Mutex
-	queue map[string]*ring.Ring[raft.Message]
+	mu     sync.Mutex
+	queues map[string]*ring.Ring[raft.Message]
 }
 
-// Send implements Transport. Messages that do not fit in the queue are
-// dropped; the core sends them again.
+// Send implements Transport. Messages that do not fit in the queue are dropped;
+// package raft sends them again.
 func (p *Peers) Send(address string, messages []raft.Message) {
 	queue := p.queueFor(address)
 	for _, m := range messages {
@@ -50,43 +54,44 @@
 func (p *Peers) queueFor(address string) *ring.Ring[raft.Message] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if queue, ok := p.queue[address]; ok {
+	if queue, ok := p.queues[address]; ok {
 		return queue
 	}
-	if p.queue == nil {
-		p.queue = make(map[string]*ring.Ring[raft.Message])
+	if p.queues == nil {
+		p.queues = make(map[string]*ring.Ring[raft.Message])
 	}
-	queue := ring.New[raft.Message](sendCapacity)
-	p.queue[address] = queue
+	queue := ring.New[raft.Message](sendQueueCapacity)
+	p.queues[address] = queue
 	client := raftv1.NewRaftServiceProtobufClient(p.URL(address), p.Client)
-	p.Start(func(ctx context.Context) { p.deliver(ctx, client, queue) })
+	p.Start(func(ctx context.Context) { p.sendLoop(ctx, client, queue) })
 	return queue
 }
 
-func (p *Peers) deliver(ctx context.Context, client raftv1.RaftService, queue *ring.Ring[raft.Message]) {
+func (p *Peers) sendLoop(ctx context.Context, client raftv1.RaftService, queue *ring.Ring[raft.Message]) {
 	for {
 		first, ok := queue.Pop(ctx)
 		if !ok {
 			return
 		}
-		request := p.batch(first, queue)
-		call, cancel := context.WithTimeout(ctx, stepTimeout)
-		_, err := client.Step(call, request)
+		request := p.collectBatch(first, queue)
+		callCtx, cancel := context.WithTimeout(ctx, stepTimeout)
+		_, err := client.Step(callCtx, request)
 		cancel()
 		if err != nil {
-			pause.For(ctx, pauseOnFailure)
+			pause.For(ctx, sendRetryDelay)
 		}
 	}
 }
 
-// batch collects queued messages up to a bound.
-func (p *Peers) batch(m raft.Message, queue *ring.Ring[raft.Message]) *raftv1.StepRequest {
+// collectBatch returns a request with m and further queued messages, up to
+// maxBatchMessages messages or about maxBatchBytes of payload.
+func (p *Peers) collectBatch(m raft.Message, queue *ring.Ring[raft.Message]) *raftv1.StepRequest {
 	request := &raftv1.StepRequest{FromAddress: p.Self}
 	size := 0
 	for {
 		request.Messages = append(request.Messages, encodeMessage(&m))
-		size += payload(&m)
-		if len(request.Messages) == maxSendBatch || size >= maxBatchBytes {
+		size += payloadSize(&m)
+		if len(request.Messages) == maxBatchMessages || size >= maxBatchBytes {
 			return request
 		}
 		var ok bool
@@ -96,7 +101,7 @@
 	}
 }
 
-func payload(m *raft.Message) int {
+func payloadSize(m *raft.Message) int {
 	size := len(m.Data)
 	for i := range m.Entries {
 		size += len(m.Entries[i].Data)
