--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -12,33 +12,38 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// forward is the state of one call of a plain service.
-type forward struct {
+// forwarder forwards one call of a plain service and holds the state of its
+// attempts.
+type forwarder struct {
 	service *Service
 	call    *Call
 	req     ServiceRequest
 	sink    ServiceSink
 
-	failed     []target.Ref
-	attempts   int
-	dispatched bool
-	began      bool
-	wasted     int
+	// failed lists the targets that failed this call, attempts counts the
+	// dispatched attempts.
+	failed   []target.Ref
+	attempts int
+	// dispatched is true once a target may have received the call,
+	// responseStarted once its response is being passed on.
+	dispatched      bool
+	responseStarted bool
+	wastedTokens    int
 }
 
-// Forward runs one call of a plain service. If the answer breaks off after its
-// header was sent, the refusal has Run set to Ran and the sink has begun; the
-// caller must then see a broken connection.
+// Forward runs one call of a plain service. If the response breaks off after
+// its header was sent, the refusal has Run set to Ran and the sink's Begin has
+// been called. The adapter must then show the caller a broken connection.
 func (s *Service) Forward(ctx context.Context, call *Call, req ServiceRequest, sink ServiceSink) Outcome {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	f := &forward{service: s, call: call, req: req, sink: sink}
+	f := &forwarder{service: s, call: call, req: req, sink: sink}
 	refusal := f.admit(ctx)
 	f.observe(refusal)
 	return Outcome{Refusal: refusal}
 }
 
-func (f *forward) admit(ctx context.Context) *Refusal {
+func (f *forwarder) admit(ctx context.Context) *Refusal {
 	call := f.call
 	if call.Workspace == "" || call.Route.CostTokens == 0 {
 		return f.enqueue(ctx)
@@ -47,7 +52,7 @@
 	maxWait := time.Duration(call.Snapshot.Document.Rates[call.Workspace].MaxWaitMS) * time.Millisecond
 	reservation, refusal := f.service.Limiter.Admit(ctx, call.Snapshot, call.Workspace, cost, maxWait)
 	if refusal != nil {
-		return f.interrupted(ctx, refusal)
+		return f.finalRefusal(ctx, refusal)
 	}
 	refusal = f.enqueue(ctx)
 	if f.dispatched {
@@ -58,7 +63,8 @@
 	return refusal
 }
 
-func (f *forward) enqueue(ctx context.Context) *Refusal {
+// enqueue waits for a slot and runs the call.
+func (f *forwarder) enqueue(ctx context.Context) *Refusal {
 	call := f.call
 	slot, refusal := f.service.Queue.Acquire(ctx, QueueRequest{
 		Group:         call.Route.Service,
@@ -66,36 +72,41 @@
 		Weight:        max(call.Snapshot.Document.Workspaces[call.Workspace].Weight, config.DefaultWeight),
 		Class:         call.Route.Class,
 		PrefillTokens: call.Route.CostTokens,
-		Deadline:      call.startBy(f.service.Clock()),
+		Deadline:      call.queueDeadline(f.service.Clock()),
 	})
 	if refusal != nil {
-		return f.interrupted(ctx, refusal)
+		return f.finalRefusal(ctx, refusal)
 	}
 	defer slot.Release(call.Route.CostTokens, 0)
 	if call.Route.Run == config.RunAtMostOnce {
-		return f.runOnce(ctx)
+		return f.runAtMostOnce(ctx)
 	}
-	return f.runRepeatable(ctx)
+	return f.runIdempotent(ctx)
 }
 
-func (f *forward) interrupted(ctx context.Context, refusal *Refusal) *Refusal {
-	if ended := endedRefusal(ctx, f.state()); ended != nil {
+// finalRefusal returns the refusal for an ended context if ctx has ended, else
+// a copy of refusal with the run state set.
+func (f *forwarder) finalRefusal(ctx context.Context, refusal *Refusal) *Refusal {
+	if ended := contextRefusal(ctx, f.runState()); ended != nil {
 		return ended
 	}
-	return withState(refusal, f.state())
+	return withState(refusal, f.runState())
 }
 
-func (f *forward) state() RunState {
+// runState reports whether the call ran, as far as this VM can know.
+func (f *forwarder) runState() RunState {
 	switch {
 	case !f.dispatched:
 		return NotRun
-	case f.began:
+	case f.responseStarted:
 		return Ran
 	}
 	return RunUnknown
 }
 
-func (f *forward) pick(ctx context.Context) (*Pick, *Refusal) {
+// pick chooses a target that has not failed this call yet. If there is none and
+// attempts remain, it also accepts targets that failed.
+func (f *forwarder) pick(ctx context.Context) (*Pick, *Refusal) {
 	req := PickRequest{Call: f.call, Attempt: f.attempts, Exclude: f.failed}
 	pick, refusal := f.service.Picker.Pick(ctx, req)
 	if refusal == nil || len(f.failed) == 0 || f.attempts >= f.call.Route.MaxAttempts {
@@ -105,84 +116,90 @@
 	return f.service.Picker.Pick(ctx, req)
 }
 
-// runRepeatable runs a call of an idempotent route.
-func (f *forward) runRepeatable(ctx context.Context) *Refusal {
+// runIdempotent runs a call of an idempotent route, which may be dispatched
+// more than once.
+func (f *forwarder) runIdempotent(ctx context.Context) *Refusal {
 	for {
-		answer, pick, refusal := f.first(ctx)
+		resp, pick, refusal := f.attempt(ctx)
 		if refusal != nil {
 			return refusal
 		}
-		if answer == nil {
+		if resp == nil {
 			continue
 		}
-		if retryableStatus(answer.Status) && f.mayRetry() {
-			answer.Body.Close()
+		if retryableStatus(resp.Status) && f.allowRetry() {
+			resp.Body.Close()
 			f.failed = append(f.failed, pick.Target.Ref())
-			pick.Done(AttemptResult{Err: &StatusError{Status: answer.Status}})
+			pick.Done(AttemptResult{Err: &StatusError{Status: resp.Status}})
 			continue
 		}
-		err := f.relay(answer)
-		pick.Done(AttemptResult{Err: targetFault(err)})
+		err := f.relay(resp)
+		pick.Done(AttemptResult{Err: targetError(err)})
 		if err != nil {
-			return f.broken(ctx, err)
+			return f.failureRefusal(ctx, err)
 		}
 		f.service.Retries.Finished(f.call.Workspace, f.call.Route.Service)
 		return nil
 	}
 }
 
-// first makes one attempt, hedged if the route wants it. Neither an answer nor
-// a refusal means that another attempt is allowed.
-func (f *forward) first(ctx context.Context) (*ServiceAnswer, *Pick, *Refusal) {
+// attempt makes one attempt, hedged if the route is configured so. If it
+// returns neither a response nor a refusal, another attempt is allowed.
+func (f *forwarder) attempt(ctx context.Context) (*ServiceAnswer, *Pick, *Refusal) {
 	pick, refusal := f.pick(ctx)
 	if refusal != nil {
-		return nil, nil, f.interrupted(ctx, refusal)
+		return nil, nil, f.finalRefusal(ctx, refusal)
 	}
-	answer, pick, err := f.hedged(ctx, pick)
+	resp, pick, err := f.dispatchHedged(ctx, pick)
 	if err == nil {
-		return answer, pick, nil
+		return resp, pick, nil
 	}
-	if ended := endedRefusal(ctx, f.state()); ended != nil {
+	if ended := contextRefusal(ctx, f.runState()); ended != nil {
 		return nil, nil, ended
 	}
 	f.failed = append(f.failed, pick.Target.Ref())
-	if f.mayRetry() {
+	if f.allowRetry() {
 		return nil, nil, nil
 	}
-	return nil, nil, targetRefusal(err, f.state())
+	return nil, nil, targetRefusal(err, f.runState())
 }
 
-func (f *forward) mayRetry() bool {
+// allowRetry reports whether another attempt is allowed. If so, the attempt has
+// been taken from the retry budgets.
+func (f *forwarder) allowRetry() bool {
 	if f.attempts >= f.call.Route.MaxAttempts {
 		return false
 	}
-	// Once a connection stood, the body may have been read in part.
+	// Once a connection was established, part of an unbuffered body may have
+	// been read.
 	if f.dispatched && !f.req.Buffered {
 		return false
 	}
 	return f.service.Retries.Allow(f.call.Workspace, f.call.Route.Service)
 }
 
-// retryableStatus reports whether another replica may do better.
+// retryableStatus reports whether another replica may succeed after a response
+// with this status.
 func retryableStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-func (f *forward) noteDispatch(err error) {
+func (f *forwarder) recordDispatch(err error) {
 	var dial *DialError
 	if !errors.As(err, &dial) {
 		f.dispatched = true
 	}
 }
 
-// relayBufferBytes is the memory that one running answer holds.
+// relayBufferBytes is the size of the copy buffer, which bounds the memory that
+// each response in flight holds.
 const relayBufferBytes = 16 << 10
 
-func (f *forward) relay(answer *ServiceAnswer) error {
-	defer answer.Body.Close()
-	f.began = true
-	f.sink.Begin(answer.Status, answer.Header)
-	return copyBody(f.sink, answer.Body)
+func (f *forwarder) relay(resp *ServiceAnswer) error {
+	defer resp.Body.Close()
+	f.responseStarted = true
+	f.sink.Begin(resp.Status, resp.Header)
+	return copyBody(f.sink, resp.Body)
 }
 
 func copyBody(sink ServiceSink, body io.Reader) error {
@@ -190,8 +207,8 @@
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if _, werr := sink.Write(buf[:n]); werr != nil {
-				return &callerGoneError{werr}
+			if _, writeErr := sink.Write(buf[:n]); writeErr != nil {
+				return &callerGoneError{writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -203,8 +220,9 @@
 	}
 }
 
-// targetFault leaves out errors on the caller's side.
-func targetFault(err error) error {
+// targetError returns err, or nil for an error on the caller's side, which must
+// not count against the target.
+func targetError(err error) error {
 	var gone *callerGoneError
 	if errors.As(err, &gone) {
 		return nil
@@ -212,20 +230,22 @@
 	return err
 }
 
-func (f *forward) broken(ctx context.Context, err error) *Refusal {
-	if ended := endedRefusal(ctx, f.state()); ended != nil {
+// failureRefusal returns the refusal for a call that cannot be retried after
+// err.
+func (f *forwarder) failureRefusal(ctx context.Context, err error) *Refusal {
+	if ended := contextRefusal(ctx, f.runState()); ended != nil {
 		return ended
 	}
-	return targetRefusal(err, f.state())
+	return targetRefusal(err, f.runState())
 }
 
-func (f *forward) observe(refusal *Refusal) {
+func (f *forwarder) observe(refusal *Refusal) {
 	sample := Sample{
 		Route:        f.call.RouteName,
 		Workspace:    f.call.Workspace,
 		Complete:     refusal == nil,
 		Attempts:     f.attempts,
-		WastedTokens: f.wasted,
+		WastedTokens: f.wastedTokens,
 	}
 	if refusal != nil {
 		sample.Refusal = refusal.Code
--- a/internal/serving/forward_once.go
+++ b/internal/serving/forward_once.go
@@ -8,13 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// runOnce runs a call of an at-most-once route.
-func (f *forward) runOnce(ctx context.Context) *Refusal {
+// runAtMostOnce runs a call of an at-most-once route, or replays the response
+// stored by an earlier request with the same key.
+func (f *forwarder) runAtMostOnce(ctx context.Context) *Refusal {
 	pick, refusal := f.pick(ctx)
 	if refusal != nil {
-		return f.interrupted(ctx, refusal)
+		return f.finalRefusal(ctx, refusal)
 	}
-	stored, refusal := f.service.claim(ctx, f.call)
+	stored, refusal := f.service.acquireClaim(ctx, f.call)
 	if stored != nil || refusal != nil {
 		pick.Done(AttemptResult{Err: ErrAbandoned})
 	}
@@ -27,83 +28,88 @@
 	return f.runClaimed(ctx, pick)
 }
 
-func (f *forward) runClaimed(ctx context.Context, pick *Pick) *Refusal {
+// runClaimed tries targets until one accepts the connection. After that there
+// is no further attempt.
+func (f *forwarder) runClaimed(ctx context.Context, pick *Pick) *Refusal {
 	for {
-		answer, err := f.dispatch(ctx, pick)
+		resp, err := f.dispatch(ctx, pick)
 		if err == nil {
-			err = f.relayOnce(answer)
-			pick.Done(AttemptResult{Err: targetFault(err)})
+			err = f.relayAndStore(resp)
+			pick.Done(AttemptResult{Err: targetError(err)})
 			if err != nil {
-				return f.broken(ctx, err)
+				return f.failureRefusal(ctx, err)
 			}
 			return nil
 		}
 		pick.Done(AttemptResult{Err: err})
 		if f.dispatched {
-			return f.broken(ctx, err)
+			return f.failureRefusal(ctx, err)
 		}
-		next, refusal := f.afterRefusedDial(ctx, pick, err)
+		next, refusal := f.afterDialFailure(ctx, pick, err)
 		if refusal != nil {
-			f.service.release(f.call)
+			f.service.releaseClaim(f.call)
 			return refusal
 		}
 		pick = next
 	}
 }
 
-func (f *forward) afterRefusedDial(ctx context.Context, pick *Pick, err error) (*Pick, *Refusal) {
-	if ended := endedRefusal(ctx, f.state()); ended != nil {
+// afterDialFailure chooses the target for the next attempt after pick's target
+// could not be connected to.
+func (f *forwarder) afterDialFailure(ctx context.Context, pick *Pick, err error) (*Pick, *Refusal) {
+	if ended := contextRefusal(ctx, f.runState()); ended != nil {
 		return nil, ended
 	}
 	f.failed = append(f.failed, pick.Target.Ref())
-	if !f.mayRetry() {
-		return nil, targetRefusal(err, f.state())
+	if !f.allowRetry() {
+		return nil, targetRefusal(err, f.runState())
 	}
 	next, refusal := f.pick(ctx)
 	if refusal != nil {
-		return nil, f.interrupted(ctx, refusal)
+		return nil, f.finalRefusal(ctx, refusal)
 	}
 	return next, nil
 }
 
 // dispatch makes one attempt and counts it.
-func (f *forward) dispatch(ctx context.Context, pick *Pick) (*ServiceAnswer, error) {
+func (f *forwarder) dispatch(ctx context.Context, pick *Pick) (*ServiceAnswer, error) {
 	f.attempts++
-	answer, err := f.service.Services.Do(ctx, pick.Target, f.call, f.req)
-	f.noteDispatch(err)
-	return answer, err
+	resp, err := f.service.Services.Do(ctx, pick.Target, f.call, f.req)
+	f.recordDispatch(err)
+	return resp, err
 }
 
-// relayOnce records the outcome before the caller gets it, if the answer is
-// small enough to be stored.
-func (f *forward) relayOnce(answer *ServiceAnswer) error {
-	defer answer.Body.Close()
-	head, err := io.ReadAll(io.LimitReader(answer.Body, MaxStoredAnswer+1))
+// relayAndStore passes a response on and stores it as the outcome of the call.
+// If the response is small enough to be stored whole, it is stored before the
+// caller gets it.
+func (f *forwarder) relayAndStore(resp *ServiceAnswer) error {
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxStoredAnswer+1))
 	if err != nil {
 		return err
 	}
-	f.began = true
-	stored := StoredAnswer{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: head}
-	if len(head) <= MaxStoredAnswer {
-		f.service.complete(f.call, stored)
-		f.sink.Begin(answer.Status, answer.Header)
-		return copyBody(f.sink, bytes.NewReader(head))
+	f.responseStarted = true
+	stored := StoredAnswer{Status: resp.Status, ContentType: resp.Header.Get("Content-Type"), Body: body}
+	if len(body) <= MaxStoredAnswer {
+		f.service.completeClaim(f.call, stored)
+		f.sink.Begin(resp.Status, resp.Header)
+		return copyBody(f.sink, bytes.NewReader(body))
 	}
-	f.sink.Begin(answer.Status, answer.Header)
-	err = copyBody(f.sink, io.MultiReader(bytes.NewReader(head), answer.Body))
-	// The service has run, whether or not the rest arrived.
-	f.service.complete(f.call, stored)
+	f.sink.Begin(resp.Status, resp.Header)
+	err = copyBody(f.sink, io.MultiReader(bytes.NewReader(body), resp.Body))
+	// The service has run, even if the rest of the response did not arrive.
+	f.service.completeClaim(f.call, stored)
 	return err
 }
 
-// HeaderReplayed marks an answer that was stored by an earlier request, and
-// HeaderTruncated one whose body was too large to store.
+// HeaderReplayed marks a response that was stored by an earlier request.
+// HeaderTruncated marks a stored response whose body was too large to store.
 const (
 	HeaderReplayed  = "Cuminwing-Replayed"
 	HeaderTruncated = "Cuminwing-Body-Not-Stored"
 )
 
-func (f *forward) replay(stored StoredAnswer) *Refusal {
+func (f *forwarder) replay(stored StoredAnswer) *Refusal {
 	f.sink.Begin(stored.Status, StoredHeader(stored))
 	if err := copyBody(f.sink, bytes.NewReader(stored.Body)); err != nil {
 		var gone *callerGoneError
--- a/internal/serving/hedge.go
+++ b/internal/serving/hedge.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// StoredHeader returns the header with which a stored answer is sent.
+// StoredHeader returns the header with which a stored response is sent.
 func StoredHeader(stored StoredAnswer) http.Header {
 	header := http.Header{}
 	if stored.ContentType != "" {
@@ -20,63 +20,67 @@
 	return header
 }
 
-// try is one of two hedged attempts.
-type try struct {
+// hedgeAttempt is one of two hedged attempts.
+type hedgeAttempt struct {
 	pick   *Pick
 	cancel context.CancelFunc
-	answer *ServiceAnswer
+	resp   *ServiceAnswer
 	err    error
 }
 
-// hedged makes an attempt and, if the route wants it and no answer has begun
-// after a while, a second one elsewhere. The slower attempt is cancelled.
-func (f *forward) hedged(ctx context.Context, pick *Pick) (*ServiceAnswer, *Pick, error) {
+// dispatchHedged makes an attempt. If the route is configured for hedging and
+// no response header has arrived after HedgeAfterMS, it makes a second attempt
+// at another target. The first response wins and the other attempt is
+// cancelled. A call whose body is not buffered is not hedged, because its body
+// can be sent only once.
+func (f *forwarder) dispatchHedged(ctx context.Context, pick *Pick) (*ServiceAnswer, *Pick, error) {
 	if f.call.Route.HedgeAfterMS <= 0 || !f.req.Buffered {
-		answer, err := f.dispatch(ctx, pick)
+		resp, err := f.dispatch(ctx, pick)
 		if err != nil {
 			pick.Done(AttemptResult{Err: err})
 		}
-		return answer, pick, err
+		return resp, pick, err
 	}
-	results := make(chan *try, 2)
-	running := []*try{f.launch(ctx, pick, results)}
+	results := make(chan *hedgeAttempt, 2)
+	running := []*hedgeAttempt{f.launch(ctx, pick, results)}
 	timer := time.NewTimer(time.Duration(f.call.Route.HedgeAfterMS) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-			if second := f.second(ctx, pick); second != nil {
+			if second := f.pickHedgeTarget(ctx, pick); second != nil {
 				running = append(running, f.launch(ctx, second, results))
 			}
-		case got := <-results:
-			running = slices.DeleteFunc(running, func(t *try) bool { return t == got })
-			f.noteDispatch(got.err)
-			if got.err == nil {
-				f.abandon(running, results)
-				return got.answer, got.pick, nil
+		case finished := <-results:
+			running = slices.DeleteFunc(running, func(t *hedgeAttempt) bool { return t == finished })
+			f.recordDispatch(finished.err)
+			if finished.err == nil {
+				f.cancelRemaining(running, results)
+				return finished.resp, finished.pick, nil
 			}
-			got.pick.Done(AttemptResult{Err: got.err})
+			finished.pick.Done(AttemptResult{Err: finished.err})
 			if len(running) == 0 {
-				return nil, got.pick, got.err
+				return nil, finished.pick, finished.err
 			}
 		}
 	}
 }
 
-// launch starts an attempt with its own context, so that it can be cancelled
-// alone.
-func (f *forward) launch(ctx context.Context, pick *Pick, results chan<- *try) *try {
+// launch starts an attempt with a context of its own, so that it can be
+// cancelled independently of the other attempt.
+func (f *forwarder) launch(ctx context.Context, pick *Pick, results chan<- *hedgeAttempt) *hedgeAttempt {
 	f.attempts++
 	ctx, cancel := context.WithCancel(ctx)
-	t := &try{pick: cancellable(pick, cancel), cancel: cancel}
+	t := &hedgeAttempt{pick: cancellable(pick, cancel), cancel: cancel}
 	go func() {
-		t.answer, t.err = f.service.Services.Do(ctx, pick.Target, f.call, f.req)
+		t.resp, t.err = f.service.Services.Do(ctx, pick.Target, f.call, f.req)
 		results <- t
 	}()
 	return t
 }
 
-// cancellable returns a pick whose attempt is cancelled once it is done.
+// cancellable returns a pick whose Done also cancels the context of the
+// attempt.
 func cancellable(pick *Pick, cancel context.CancelFunc) *Pick {
 	wrapped := *pick
 	wrapped.Done = func(result AttemptResult) {
@@ -86,39 +90,40 @@
 	return &wrapped
 }
 
-// second chooses the target of the second attempt; nil if there is none or
-// the budget of extra attempts is spent.
-func (f *forward) second(ctx context.Context, first *Pick) *Pick {
+// pickHedgeTarget chooses the target of the second attempt. It returns nil if
+// there is none or the retry budget is spent.
+func (f *forwarder) pickHedgeTarget(ctx context.Context, first *Pick) *Pick {
 	exclude := append(f.failed[:len(f.failed):len(f.failed)], first.Target.Ref())
 	pick, refusal := f.service.Picker.Pick(ctx, PickRequest{Call: f.call, Attempt: f.attempts, Exclude: exclude})
 	if refusal != nil {
 		return nil
 	}
-	if !f.mayRetry() {
+	if !f.allowRetry() {
 		pick.Done(AttemptResult{Err: ErrAbandoned})
 		return nil
 	}
 	return pick
 }
 
-// abandon cancels the attempts that still run and collects them in the
-// background. Their outcome says nothing about their targets.
-func (f *forward) abandon(running []*try, results <-chan *try) {
+// cancelRemaining cancels the attempts in flight and collects their results in
+// the background. It reports them as ErrAbandoned, because a cancelled attempt
+// says nothing about the health of its target.
+func (f *forwarder) cancelRemaining(running []*hedgeAttempt, results <-chan *hedgeAttempt) {
 	for _, t := range running {
 		t.cancel()
 		f.dispatched = true
-		f.wasted += f.call.Route.CostTokens
+		f.wastedTokens += f.call.Route.CostTokens
 	}
 	if len(running) == 0 {
 		return
 	}
 	go func() {
 		for range running {
-			lost := <-results
-			if lost.err == nil {
-				lost.answer.Body.Close()
+			cancelled := <-results
+			if cancelled.err == nil {
+				cancelled.resp.Body.Close()
 			}
-			lost.pick.Done(AttemptResult{Err: ErrAbandoned})
+			cancelled.pick.Done(AttemptResult{Err: ErrAbandoned})
 		}
 	}()
 }
--- a/internal/serving/once.go
+++ b/internal/serving/once.go
@@ -8,19 +8,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxStoredAnswer is the largest answer that is kept for resends.
+// MaxStoredAnswer is the largest response body in bytes that is stored for
+// resends.
 const MaxStoredAnswer = 64 << 10
 
-// outcomeWait bounds how long an answer waits for its record. Claims goes on
-// trying after that, and until it succeeds resends get "unknown".
-const outcomeWait = time.Second
+// claimUpdateTimeout limits how long a response waits for the update of its
+// claim. Claims keeps retrying after that. Until it succeeds, resends are
+// refused with the run state "unknown".
+const claimUpdateTimeout = time.Second
 
-// claimRetryAfter is the pause asked of callers while records are unreachable.
+// claimRetryAfter is the Retry-After sent to callers while the store of claims
+// is unreachable.
 const claimRetryAfter = time.Second
 
-// claimOf names the record of an at-most-once request. Without a key of the
-// caller the request ID stands in, which guards against retries by VMs.
-func claimOf(call *Call) Claim {
+// newClaim returns the claim of an at-most-once request. If the caller sent no
+// idempotency key, the request ID is used, which still prevents retries by VMs
+// from running the request twice.
+func newClaim(call *Call) Claim {
 	key := call.IdempotencyKey
 	if key == "" {
 		key = call.ID
@@ -34,10 +38,11 @@
 	}
 }
 
-// claim commits the intent to run. If it returns neither an answer nor a
-// refusal, this request and no other may dispatch.
-func (s *Service) claim(ctx context.Context, call *Call) (*StoredAnswer, *Refusal) {
-	status, stored := s.Claims.Claim(ctx, claimOf(call))
+// acquireClaim commits the intent to run. If it returns neither a response nor
+// a refusal, this request may be dispatched and no other request with the same
+// key may.
+func (s *Service) acquireClaim(ctx context.Context, call *Call) (*StoredAnswer, *Refusal) {
+	status, stored := s.Claims.Claim(ctx, newClaim(call))
 	switch status {
 	case ClaimGranted:
 		return nil, nil
@@ -53,31 +58,34 @@
 	return nil, &Refusal{Status: http.StatusServiceUnavailable, Code: "claims_unreachable", Message: "the record of at-most-once requests is out of reach", Run: NotRun, RetryAfter: claimRetryAfter}
 }
 
-// complete stores the outcome, also if the caller is gone by now.
-func (s *Service) complete(call *Call, answer StoredAnswer) {
-	if len(answer.Body) > MaxStoredAnswer {
-		answer.Body = nil
-		answer.Truncated = true
+// completeClaim stores the outcome. It does not use the context of the request,
+// so that the outcome is stored even if the caller has disconnected.
+func (s *Service) completeClaim(call *Call, resp StoredAnswer) {
+	if len(resp.Body) > MaxStoredAnswer {
+		resp.Body = nil
+		resp.Truncated = true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), outcomeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), claimUpdateTimeout)
 	defer cancel()
-	_ = s.Claims.Complete(ctx, claimOf(call), answer)
+	_ = s.Claims.Complete(ctx, newClaim(call), resp)
 }
 
-// release gives the claim back after no byte left this VM.
-func (s *Service) release(call *Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), outcomeWait)
+// releaseClaim withdraws the claim. It must be called only if no byte of the
+// request has left this VM.
+func (s *Service) releaseClaim(call *Call) {
+	ctx, cancel := context.WithTimeout(context.Background(), claimUpdateTimeout)
 	defer cancel()
-	_ = s.Claims.Release(ctx, claimOf(call))
+	_ = s.Claims.Release(ctx, newClaim(call))
 }
 
-// attemptOnce runs a model request whose route is at-most-once.
-func (r *run) attemptOnce(ctx context.Context) *Refusal {
+// runAtMostOnce runs a model request of an at-most-once route, or replays the
+// response stored by an earlier request with the same key.
+func (r *requestRunner) runAtMostOnce(ctx context.Context) *Refusal {
 	pick, refusal := r.pick(ctx)
 	if refusal != nil {
-		return r.interrupted(ctx, refusal)
+		return r.finalRefusal(ctx, refusal)
 	}
-	stored, refusal := r.service.claim(ctx, r.call)
+	stored, refusal := r.service.acquireClaim(ctx, r.call)
 	if stored != nil || refusal != nil {
 		pick.Done(AttemptResult{Err: ErrAbandoned})
 	}
@@ -91,9 +99,9 @@
 	return r.runClaimed(ctx, pick)
 }
 
-// runClaimed tries targets until one takes the connection. Once a byte may
-// have left there is no further attempt.
-func (r *run) runClaimed(ctx context.Context, pick *Pick) *Refusal {
+// runClaimed tries targets until one accepts the connection. Once a byte may
+// have been sent, there is no further attempt.
+func (r *requestRunner) runClaimed(ctx context.Context, pick *Pick) *Refusal {
 	for {
 		err := r.attempt(ctx, pick)
 		if err == nil {
@@ -101,28 +109,29 @@
 			return nil
 		}
 		if r.dispatched {
-			return r.failedOnce(ctx, err)
+			return r.afterDispatchFailure(ctx, err)
 		}
 		refusal := r.afterFailure(ctx, pick.Target, err)
 		if refusal == nil {
 			pick, refusal = r.pick(ctx)
 		}
 		if refusal != nil {
-			r.service.release(r.call)
-			return r.interrupted(ctx, refusal)
+			r.service.releaseClaim(r.call)
+			return r.finalRefusal(ctx, refusal)
 		}
 	}
 }
 
-// failedOnce answers after a target took the request. The claim stays pending
-// unless the target itself refused the request.
-func (r *run) failedOnce(ctx context.Context, err error) *Refusal {
+// afterDispatchFailure returns the refusal for a failure after a target may
+// have received the request. The claim stays pending unless the target itself
+// rejected the request.
+func (r *requestRunner) afterDispatchFailure(ctx context.Context, err error) *Refusal {
 	var status *StatusError
-	if errors.As(err, &status) && callerFault(status.Status) {
-		r.service.complete(r.call, StoredAnswer{Status: status.Status, ContentType: status.ContentType, Body: status.Body})
+	if errors.As(err, &status) && isRequestError(status.Status) {
+		r.service.completeClaim(r.call, StoredAnswer{Status: status.Status, ContentType: status.ContentType, Body: status.Body})
 	}
-	if ended := endedRefusal(ctx, r.state()); ended != nil {
+	if ended := contextRefusal(ctx, r.runState()); ended != nil {
 		return ended
 	}
-	return targetRefusal(err, r.state())
+	return targetRefusal(err, r.runState())
 }
--- a/internal/serving/refusal.go
+++ b/internal/serving/refusal.go
@@ -8,21 +8,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCallerGone is matched by results of attempts that ended with the caller.
-var ErrCallerGone = errors.New("the caller is gone")
+// ErrCallerGone matches the result of an attempt that ended because the caller
+// disconnected.
+var ErrCallerGone = errors.New("caller disconnected")
 
-// callerGoneError means that the answer could not be written.
+// callerGoneError means that the response could not be written to the caller.
 type callerGoneError struct{ err error }
 
 func (e *callerGoneError) Error() string { return "caller is gone: " + e.err.Error() }
 
 func (e *callerGoneError) Unwrap() []error { return []error{ErrCallerGone, e.err} }
 
-// targetRetryAfter is the pause asked of callers after a target failed.
+// targetRetryAfter is the minimum Retry-After sent to callers after a target
+// failed.
 const targetRetryAfter = time.Second
 
-// endedRefusal says why ctx ended; nil if it has not.
-func endedRefusal(ctx context.Context, state RunState) *Refusal {
+// contextRefusal returns the refusal for the reason why ctx ended, or nil if it
+// has not ended.
+func contextRefusal(ctx context.Context, state RunState) *Refusal {
 	if ctx.Err() == nil {
 		return nil
 	}
@@ -35,13 +38,14 @@
 	return &Refusal{Status: statusClientClosed, Code: "caller_gone", Message: "the caller closed the connection", Run: state}
 }
 
-// statusClientClosed is the status commonly logged for requests that the
-// caller abandoned. Nobody receives it.
+// statusClientClosed is the status that proxies conventionally log for a
+// request whose caller disconnected. No caller receives it.
 const statusClientClosed = 499
 
-// targetRefusal maps the last error of a target to the caller's answer.
+// targetRefusal converts the last error of a target to the refusal for the
+// caller.
 func targetRefusal(err error, state RunState) *Refusal {
-	// The body of the caller may have ended the attempt.
+	// Reading the request body from the caller may have ended the attempt.
 	if refusal := new(Refusal); errors.As(err, &refusal) {
 		return withState(refusal, state)
 	}
@@ -59,25 +63,28 @@
 	switch {
 	case e.Status == http.StatusTooManyRequests, e.Status == http.StatusServiceUnavailable:
 		return &Refusal{Status: http.StatusServiceUnavailable, Code: "target_overloaded", Message: "the targets are overloaded", Run: state, RetryAfter: max(e.RetryAfter, targetRetryAfter)}
-	case callerFault(e.Status):
+	case isRequestError(e.Status):
 		return &Refusal{Status: e.Status, Code: "request_refused_by_target", Message: "the target refused the request", Run: Ran, ContentType: e.ContentType, Body: e.Body}
 	}
 	return &Refusal{Status: http.StatusBadGateway, Code: "target_failed", Message: "the target answered with an error", Run: state, RetryAfter: targetRetryAfter}
 }
 
-// callerFault reports whether another target would refuse the request too.
-func callerFault(status int) bool {
+// isRequestError reports whether status blames the request itself, so that
+// another target would refuse it too.
+func isRequestError(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusUnauthorized, http.StatusForbidden, http.StatusProxyAuthRequired:
-		// Credentials at a target are the operator's matter, not the caller's.
+		// Credentials for targets are the operator's responsibility, so the
+		// caller cannot correct them.
 		return false
 	}
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// withState copies the refusal, because refusals may be shared.
+// withState returns a copy of refusal with the run state set. It does not
+// modify refusal, which may be shared between requests.
 func withState(refusal *Refusal, state RunState) *Refusal {
-	stated := *refusal
-	stated.Run = state
-	return &stated
+	copied := *refusal
+	copied.Run = state
+	return &copied
 }
--- a/internal/serving/run.go
+++ b/internal/serving/run.go
@@ -11,9 +11,9 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// run is the state of one model request.
-type run struct {
-	// slot is the turn of the request at its group of targets.
+// requestRunner runs one model request and holds the state of its attempts.
+type requestRunner struct {
+	// slot is the admission of the request to its group of targets.
 	slot         Slot
 	service      *Service
 	call         *Call
@@ -23,34 +23,38 @@
 
 	failed   []target.Ref
 	attempts int
-	// resumed is true if the attempt began after the first token.
+	// resumed is true if the current attempt started after tokens had been
+	// delivered.
 	resumed bool
-	// dispatched is true once a target may have begun the request, answered
-	// once a target did.
-	dispatched bool
-	answered   bool
+	// dispatched is true once a target may have started the request,
+	// responseStarted once an event of a target was accepted for delivery.
+	dispatched      bool
+	responseStarted bool
 
-	cached int
-	wasted int
-	queued time.Duration
-	first  time.Time
-	last   time.Time
-	maxGap time.Duration
+	cachedTokens int
+	wastedTokens int
+	queueWait    time.Duration
+	firstTokenAt time.Time
+	lastTokenAt  time.Time
+	maxTokenGap  time.Duration
 }
 
-// interrupted prefers the end of the request over another reason.
-func (r *run) interrupted(ctx context.Context, refusal *Refusal) *Refusal {
-	if ended := endedRefusal(ctx, r.state()); ended != nil {
+// finalRefusal returns the refusal for an ended context if ctx has ended, else
+// a copy of refusal with the run state set.
+func (r *requestRunner) finalRefusal(ctx context.Context, refusal *Refusal) *Refusal {
+	if ended := contextRefusal(ctx, r.runState()); ended != nil {
 		return ended
 	}
-	return withState(refusal, r.state())
+	return withState(refusal, r.runState())
 }
 
-func (r *run) attemptAll(ctx context.Context) *Refusal {
+// runIdempotent makes attempts until one succeeds or no further attempt is
+// allowed.
+func (r *requestRunner) runIdempotent(ctx context.Context) *Refusal {
 	for {
 		pick, refusal := r.pick(ctx)
 		if refusal != nil {
-			return r.interrupted(ctx, refusal)
+			return r.finalRefusal(ctx, refusal)
 		}
 		err := r.attempt(ctx, pick)
 		if err == nil {
@@ -63,24 +67,27 @@
 	}
 }
 
-// pick chooses a target that has not failed this request. If there is none,
-// one that failed is tried again: it may only have lost its connection.
-func (r *run) pick(ctx context.Context) (*Pick, *Refusal) {
-	pick, refusal := r.pickExcept(ctx, r.failed)
+// pick chooses a target that has not failed this request yet. If there is none
+// and attempts remain, it also accepts targets that failed, because such a
+// target may only have lost its connection.
+func (r *requestRunner) pick(ctx context.Context) (*Pick, *Refusal) {
+	pick, refusal := r.pickExcluding(ctx, r.failed)
 	if refusal == nil || len(r.failed) == 0 || r.attempts >= r.call.Route.MaxAttempts {
 		return pick, refusal
 	}
-	return r.pickExcept(ctx, nil)
+	return r.pickExcluding(ctx, nil)
 }
 
-func (r *run) pickExcept(ctx context.Context, exclude []target.Ref) (*Pick, *Refusal) {
-	needResume := r.tracker.Delivered() > 0
+// pickExcluding chooses a target that is not in exclude. If tokens were already
+// delivered, the target must support resuming.
+func (r *requestRunner) pickExcluding(ctx context.Context, exclude []target.Ref) (*Pick, *Refusal) {
+	needsResume := r.tracker.Delivered() > 0
 	for {
 		pick, refusal := r.service.Picker.Pick(ctx, PickRequest{Call: r.call, Attempt: r.attempts, Exclude: exclude})
 		if refusal != nil {
 			return nil, refusal
 		}
-		if !needResume || pick.Target.Capabilities.Resume {
+		if !needsResume || pick.Target.Capabilities.Resume {
 			return pick, nil
 		}
 		pick.Done(AttemptResult{Err: ErrAbandoned})
@@ -88,81 +95,86 @@
 	}
 }
 
-// afterFailure returns nil if another attempt is allowed.
-func (r *run) afterFailure(ctx context.Context, t *target.Target, err error) *Refusal {
-	if ended := endedRefusal(ctx, r.state()); ended != nil {
+// afterFailure returns nil if another attempt is allowed, else the refusal for
+// the caller.
+func (r *requestRunner) afterFailure(ctx context.Context, t *target.Target, err error) *Refusal {
+	if ended := contextRefusal(ctx, r.runState()); ended != nil {
 		return ended
 	}
 	var gone *callerGoneError
 	if errors.As(err, &gone) {
 		if refusal := new(Refusal); errors.As(err, &refusal) {
-			return withState(refusal, r.state())
+			return withState(refusal, r.runState())
 		}
-		return &Refusal{Status: statusClientClosed, Code: "caller_gone", Message: err.Error(), Run: r.state()}
+		return &Refusal{Status: statusClientClosed, Code: "caller_gone", Message: err.Error(), Run: r.runState()}
 	}
 	var status *StatusError
-	if errors.As(err, &status) && callerFault(status.Status) {
-		return targetRefusal(err, r.state())
+	if errors.As(err, &status) && isRequestError(status.Status) {
+		return targetRefusal(err, r.runState())
 	}
 	r.failed = append(r.failed, t.Ref())
-	if r.mayRetry() {
+	if r.allowRetry() {
 		return nil
 	}
-	return targetRefusal(err, r.state())
+	return targetRefusal(err, r.runState())
 }
 
-func (r *run) mayRetry() bool {
+// allowRetry reports whether another attempt is allowed. If so, the attempt has
+// been taken from the retry budgets.
+func (r *requestRunner) allowRetry() bool {
 	if r.attempts >= r.call.Route.MaxAttempts {
 		return false
 	}
-	if !r.tracker.Resumable() && !r.restart() {
+	if !r.tracker.Resumable() && !r.restartResponse() {
 		return false
 	}
 	return r.service.Retries.Allow(r.call.Workspace, r.call.Model)
 }
 
-// restart begins the answer anew if the caller has seen nothing of it.
-func (r *run) restart() bool {
+// restartResponse discards the response so far. It returns false if the caller
+// has received any of it.
+func (r *requestRunner) restartResponse() bool {
 	if !r.sink.Restart() {
 		return false
 	}
-	r.wasted += r.tracker.Delivered()
-	r.tracker.Restart()
+	r.wastedTokens += r.tracker.Delivered()
+	r.tracker.Reset()
 	return true
 }
 
-func (r *run) attempt(ctx context.Context, pick *Pick) error {
+// attempt makes one attempt at the picked target and reports its result.
+func (r *requestRunner) attempt(ctx context.Context, pick *Pick) error {
 	start := r.service.Clock()
-	before := r.tracker.Delivered()
-	r.resumed = before > 0
-	r.tracker.Begin()
-	opened, err := r.service.Engines.Open(ctx, pick.Target, EngineRequest{
+	deliveredBefore := r.tracker.Delivered()
+	r.resumed = deliveredBefore > 0
+	r.tracker.BeginAttempt()
+	chunks, err := r.service.Engines.Open(ctx, pick.Target, EngineRequest{
 		Call:         r.call,
 		Priority:     priority(r.call.Route.Class),
 		Attempt:      r.attempts,
-		ResumeOffset: before,
+		ResumeOffset: deliveredBefore,
 		ResumeText:   r.tracker.Text(),
 		Prefix:       pick.Prefix,
 	})
 	r.attempts++
-	r.noteDispatch(err)
+	r.recordDispatch(err)
 	if err == nil {
-		err = r.relay(opened, pick.Target, start)
-		opened.Close()
+		err = r.relay(chunks, pick.Target, start)
+		chunks.Close()
 	}
-	result := AttemptResult{Err: err, CachedTokens: r.cached, DeliveredTokens: r.tracker.Delivered() - before}
-	if !r.first.IsZero() && before == 0 {
-		result.FirstToken = r.first.Sub(start)
+	result := AttemptResult{Err: err, CachedTokens: r.cachedTokens, DeliveredTokens: r.tracker.Delivered() - deliveredBefore}
+	if !r.firstTokenAt.IsZero() && deliveredBefore == 0 {
+		result.FirstToken = r.firstTokenAt.Sub(start)
 	}
 	var dial *DialError
 	if err != nil && !errors.As(err, &dial) {
-		r.wasted += r.call.PromptTokens
+		r.wastedTokens += r.call.PromptTokens
 	}
 	pick.Done(result)
 	return err
 }
 
-func (r *run) noteDispatch(err error) {
+func (r *requestRunner) recordDispatch(err error) {
 	var dial *DialError
 	if errors.As(err, &dial) {
 		return
@@ -170,29 +182,29 @@
 	r.dispatched = true
 }
 
-// relay passes the events of one attempt on. The stall limit for the first
-// token runs from the start of the attempt.
-func (r *run) relay(in ChunkStream, t *target.Target, progress time.Time) error {
+// relay passes on the events of one attempt. lastProgress is the start of the
+// attempt, from which the timeout for the first token runs.
+func (r *requestRunner) relay(chunks ChunkStream, t *target.Target, lastProgress time.Time) error {
 	limit := r.call.Route.FirstTokenTimeout()
 	for {
 		// Dropped events do not count as progress.
-		left := limit - r.service.Clock().Sub(progress)
-		if left <= 0 {
+		remaining := limit - r.service.Clock().Sub(lastProgress)
+		if remaining <= 0 {
 			return ErrStalled
 		}
-		chunk, err := in.Next(left)
+		chunk, err := chunks.Next(remaining)
 		if err != nil {
 			return err
 		}
 		if chunk.Done {
-			return r.end(chunk)
+			return r.finish(chunk)
 		}
-		passed, err := r.accept(chunk, t.Incarnation)
+		delivered, err := r.handleChunk(chunk, t.Incarnation)
 		if err != nil {
 			return err
 		}
-		if passed {
-			progress = r.service.Clock()
+		if delivered {
+			lastProgress = r.service.Clock()
 			if chunk.Tokens > 0 {
 				limit = r.call.Route.TokenGapTimeout()
 			}
@@ -200,24 +212,27 @@
 	}
 }
 
-func (r *run) end(done Chunk) error {
+// finish handles the end-of-stream marker. An at-most-once outcome is stored
+// before the marker is passed on.
+func (r *requestRunner) finish(done Chunk) error {
 	if !r.tracker.Finished() {
 		return stream.ErrIncomplete
 	}
 	if r.call.Route.Run == config.RunAtMostOnce {
-		r.service.complete(r.call, r.sink.Stored())
+		r.service.completeClaim(r.call, r.sink.Stored())
 	}
-	return r.pass(done)
+	return r.sendChunk(done)
 }
 
-// accept passes on what the caller does not have yet.
-func (r *run) accept(c Chunk, incarnation uint64) (bool, error) {
-	event := eventOf(c)
-	verdict, skip, err := r.tracker.Check(event, incarnation)
-	if err != nil || verdict == stream.Drop {
+// handleChunk passes on the part of a chunk that the caller does not have yet.
+// It reports whether there was any.
+func (r *requestRunner) handleChunk(c Chunk, incarnation uint64) (bool, error) {
+	event := trackerEvent(c)
+	action, skip, err := r.tracker.Check(event, incarnation)
+	if err != nil || action == stream.Drop {
 		return false, err
 	}
-	if verdict == stream.Trim {
+	if action == stream.Trim {
 		if c.Data, err = stream.TrimText(c.Data, skip); err != nil {
 			return false, errors.Join(stream.ErrOverlap, err)
 		}
@@ -227,7 +242,7 @@
 	return true, r.deliver(c, event)
 }
 
-func eventOf(c Chunk) stream.Event {
+func trackerEvent(c Chunk) stream.Event {
 	return stream.Event{
 		RequestID:   c.RequestID,
 		Incarnation: c.Incarnation,
@@ -240,20 +255,21 @@
 	}
 }
 
-func (r *run) deliver(c Chunk, event stream.Event) error {
-	r.answered = true
+func (r *requestRunner) deliver(c Chunk, event stream.Event) error {
+	r.responseStarted = true
 	if c.Tokens > 0 {
-		r.noteTokens(r.service.Clock())
+		r.recordTokenTime(r.service.Clock())
 	}
-	if c.CachedTokens > 0 && r.cached == 0 {
-		r.cached = c.CachedTokens
+	if c.CachedTokens > 0 && r.cachedTokens == 0 {
+		r.cachedTokens = c.CachedTokens
 	}
-	// A resumed engine may count the delivered text as part of the prompt.
+	// After a resume, the engine may count the delivered text as part of the
+	// prompt.
 	if c.Usage != nil && c.Usage.PromptTokens > 0 && !r.resumed {
 		r.promptTokens = c.Usage.PromptTokens
 	}
 	if !c.UsageOnly || r.call.IncludeUsage {
-		if err := r.pass(c); err != nil {
+		if err := r.sendChunk(c); err != nil {
 			return err
 		}
 	}
@@ -261,29 +277,31 @@
 	return nil
 }
 
-func (r *run) noteTokens(now time.Time) {
-	if r.first.IsZero() {
-		r.first = now
+func (r *requestRunner) recordTokenTime(now time.Time) {
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = now
 		r.slot.FirstToken()
 	} else {
-		r.maxGap = max(r.maxGap, now.Sub(r.last))
+		r.maxTokenGap = max(r.maxTokenGap, now.Sub(r.lastTokenAt))
 	}
-	r.last = now
+	r.lastTokenAt = now
 }
 
-func (r *run) pass(c Chunk) error {
+// sendChunk passes a chunk to the sink. An error means that the caller
+// disconnected.
+func (r *requestRunner) sendChunk(c Chunk) error {
 	if err := r.sink.Chunk(c); err != nil {
 		return &callerGoneError{err}
 	}
 	return nil
 }
 
-// state says whether the request ran, as far as this VM can know.
-func (r *run) state() RunState {
+// runState reports whether the request ran, as far as this VM can know.
+func (r *requestRunner) runState() RunState {
 	switch {
 	case !r.dispatched:
 		return NotRun
-	case r.answered:
+	case r.responseStarted:
 		return Ran
 	}
 	return RunUnknown
--- a/internal/serving/service.go
+++ b/internal/serving/service.go
@@ -25,53 +25,56 @@
 	Observer Observer
 }
 
-// Outcome is what a request came to.
+// Outcome is the result of a request.
 type Outcome struct {
-	// Refusal is nil if the caller got the whole answer.
+	// Refusal is nil if the caller received the complete response.
 	Refusal *Refusal
 	// Delivered is the number of completion tokens passed to the sink.
 	Delivered int
-	// PromptTokens is the length of the prompt as the engine counted it, or
-	// the estimate.
+	// PromptTokens is the length of the prompt as counted by the engine, or the
+	// estimate if the engine did not report it.
 	PromptTokens int
 }
 
-// Priorities passed to engines; lower runs first.
+// Priorities passed to engines. Requests with lower values run first.
 const (
 	priorityInteractive = 0
 	priorityCatalogue   = 10
 )
 
-// Complete runs one model request and passes the answer to sink.
+// Complete runs one model request and passes the response to sink.
 func (s *Service) Complete(ctx context.Context, call *Call, sink Sink) Outcome {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	run := &run{
+	runner := &requestRunner{
 		service:      s,
 		call:         call,
 		sink:         sink,
 		tracker:      stream.NewTracker(call.ID, call.Choices),
 		promptTokens: call.PromptTokens,
 	}
-	refusal := run.admit(ctx)
-	run.observe(refusal)
-	return Outcome{Refusal: refusal, Delivered: run.tracker.Delivered(), PromptTokens: run.promptTokens}
+	refusal := runner.admit(ctx)
+	runner.observe(refusal)
+	return Outcome{Refusal: refusal, Delivered: runner.tracker.Delivered(), PromptTokens: runner.promptTokens}
 }
 
-func (r *run) admit(ctx context.Context) *Refusal {
+// admit charges the estimated tokens to the rate of the workspace, runs the
+// request, and replaces the estimate by the actual count.
+func (r *requestRunner) admit(ctx context.Context) *Refusal {
 	call := r.call
 	rate := call.Snapshot.Document.Rates[call.Workspace]
 	maxWait := time.Duration(rate.MaxWaitMS) * time.Millisecond
 	estimate := int64(call.PromptTokens + call.MaxTokens*max(call.Choices, 1))
 	reservation, refusal := r.service.Limiter.Admit(ctx, call.Snapshot, call.Workspace, estimate, maxWait)
 	if refusal != nil {
-		return r.interrupted(ctx, refusal)
+		return r.finalRefusal(ctx, refusal)
 	}
-	defer func() { reservation.Settle(r.billed()) }()
+	defer func() { reservation.Settle(r.actualTokens()) }()
 	return r.enqueue(ctx)
 }
 
-func (r *run) enqueue(ctx context.Context) *Refusal {
+// enqueue waits for a slot, runs the request and records its usage.
+func (r *requestRunner) enqueue(ctx context.Context) *Refusal {
 	call := r.call
 	start := r.service.Clock()
 	slot, refusal := r.service.Queue.Acquire(ctx, QueueRequest{
@@ -81,28 +84,29 @@
 		Class:         call.Route.Class,
 		PrefillTokens: call.PromptTokens,
 		DecodeTokens:  call.MaxTokens,
-		Deadline:      call.startBy(start),
+		Deadline:      call.queueDeadline(start),
 	})
 	if refusal != nil {
-		return r.interrupted(ctx, refusal)
+		return r.finalRefusal(ctx, refusal)
 	}
 	r.slot = slot
-	r.queued = r.service.Clock().Sub(start)
+	r.queueWait = r.service.Clock().Sub(start)
 	if call.Route.Run == config.RunAtMostOnce {
-		refusal = r.attemptOnce(ctx)
+		refusal = r.runAtMostOnce(ctx)
 	} else {
-		refusal = r.attemptAll(ctx)
+		refusal = r.runIdempotent(ctx)
 	}
-	slot.Release(max(0, call.PromptTokens-r.cached), r.tracker.Delivered())
-	r.bill()
+	slot.Release(max(0, call.PromptTokens-r.cachedTokens), r.tracker.Delivered())
+	r.recordUsage()
 	return refusal
 }
 
-// startBy is when a target must have a request that is queued at now. A caller
-// that waits longer than the stall limit of the first token is better served by
-// a refusal, which it can take elsewhere. The wait for the rate has a limit of
-// its own and does not count.
-func (c *Call) startBy(now time.Time) time.Time {
+// queueDeadline returns the time by which a request queued at now must be
+// admitted by the queue: after the first-token timeout, but no later than the
+// deadline of the call. A caller that would wait longer is better served by a
+// refusal, because it can send the request elsewhere. The wait for rate tokens
+// has its own limit and does not count.
+func (c *Call) queueDeadline(now time.Time) time.Time {
 	limit := now.Add(c.Route.FirstTokenTimeout())
 	if limit.Before(c.Deadline) {
 		return limit
@@ -110,19 +114,20 @@
 	return c.Deadline
 }
 
-// billed returns the tokens that count against the rate.
-func (r *run) billed() int64 {
+// actualTokens returns the number of tokens to charge against the rate.
+func (r *requestRunner) actualTokens() int64 {
 	if r.tracker.Delivered() == 0 {
 		return 0
 	}
 	return int64(r.promptTokens + r.tracker.Delivered())
 }
 
-func (r *run) bill() {
+// recordUsage records the tokens for billing, unless no attempt was made.
+func (r *requestRunner) recordUsage() {
 	if r.attempts == 0 {
 		return
 	}
-	record := UsageRecord{Workspace: r.call.Workspace, Model: r.call.Model, WastedTokens: r.wasted}
+	record := UsageRecord{Workspace: r.call.Workspace, Model: r.call.Model, WastedTokens: r.wastedTokens}
 	if delivered := r.tracker.Delivered(); delivered > 0 {
 		record.PromptTokens = r.promptTokens
 		record.CompletionTokens = delivered
@@ -130,32 +135,33 @@
 	r.service.Ledger.Record(record)
 }
 
-func (r *run) observe(refusal *Refusal) {
+func (r *requestRunner) observe(refusal *Refusal) {
 	sample := Sample{
 		Route:        r.call.RouteName,
 		Workspace:    r.call.Workspace,
-		MaxTokenGap:  r.maxGap,
+		MaxTokenGap:  r.maxTokenGap,
 		Complete:     refusal == nil,
 		Attempts:     r.attempts,
 		PromptTokens: r.promptTokens,
-		CachedTokens: r.cached,
-		WastedTokens: r.wasted,
-		Cause:        r.cause(),
+		CachedTokens: r.cachedTokens,
+		WastedTokens: r.wastedTokens,
+		Cause:        r.firstTokenCause(),
 	}
 	if refusal != nil {
 		sample.Refusal = refusal.Code
 	}
-	if !r.first.IsZero() {
-		sample.FirstToken = r.first.Sub(r.call.Received)
+	if !r.firstTokenAt.IsZero() {
+		sample.FirstToken = r.firstTokenAt.Sub(r.call.Received)
 	}
 	r.service.Observer.Observe(sample)
 }
 
-func (r *run) cause() string {
+// firstTokenCause names what contributed most to the time to the first token.
+func (r *requestRunner) firstTokenCause() string {
 	if r.attempts > 1 {
 		return "retry"
 	}
-	if r.first.IsZero() || 2*r.queued > r.first.Sub(r.call.Received) {
+	if r.firstTokenAt.IsZero() || 2*r.queueWait > r.firstTokenAt.Sub(r.call.Received) {
 		return "queue"
 	}
 	return "prefill"
--- a/internal/stream/seed_test.go
+++ b/internal/stream/seed_test.go
@@ -3,11 +3,11 @@
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // defines the flag
+	_ "pgregory.net/rapid" // registers the -rapid.* flags
 )
 
-// CI must give the same verdict every time. A longer run takes another seed
-// with -rapid.seed and more schedules with -rapid.checks.
+// A fixed seed makes the tests reproducible in CI. To explore more schedules,
+// pass another seed with -rapid.seed and a higher count with -rapid.checks.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
--- a/internal/stream/trim.go
+++ b/internal/stream/trim.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-var errNoText = errors.New("event has no text to trim")
+var errCannotTrim = errors.New("event does not have a single choice with enough text to trim")
 
-// TrimText removes the first skip bytes of the text of a completion event with
-// one choice.
+// TrimText removes the first skip bytes of the generated text from a completion
+// event in JSON. The event must have exactly one choice.
 func TrimText(data []byte, skip int) ([]byte, error) {
 	var event map[string]json.RawMessage
 	if err := json.Unmarshal(data, &event); err != nil {
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	if len(choices) != 1 {
-		return nil, errNoText
+		return nil, errCannotTrim
 	}
 	if err := trimChoice(choices[0], skip); err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 		return err
 	}
 	if skip < 0 || skip > len(text) {
-		return errNoText
+		return errCannotTrim
 	}
 	var err error
 	fields[name], err = json.Marshal(text[skip:])
--- a/internal/target/drain.go
+++ b/internal/target/drain.go
@@ -2,19 +2,19 @@
 
 import "sort"
 
-// Drain is an operator's decision about one target. It holds for every
-// incarnation until changed again.
+// Drain is an operator's decision whether a target gets new work. It applies to
+// every incarnation of the target until the operator changes it.
 type Drain struct {
-	// ID names the target.
+	// ID identifies the target.
 	ID string
-	// Version orders decisions about one target over all VMs.
+	// Version orders the decisions about one target across all VMs.
 	Version uint64
-	// Drained is true if the target may get no new work.
+	// Drained is true if the target must not get new work.
 	Drained bool
 }
 
-// newer reports whether d replaces old. Of two decisions that were made
-// without knowledge of each other, the one to drain wins.
+// newer reports whether d replaces old. Of two concurrent decisions with the
+// same version, the one that drains the target wins.
 func (d Drain) newer(old Drain) bool {
 	if d.Version != old.Version {
 		return d.Version > old.Version
@@ -22,24 +22,25 @@
 	return d.Drained && !old.Drained
 }
 
-// Drain takes a target out of service, or returns it, until changed again.
+// Drain takes a target out of service, or returns it to service, until the
+// operator changes the decision.
 func (r *Registry) Drain(id string, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if old, known := r.drained[id]; known && old.Drained == drained {
+	if old, known := r.drains[id]; known && old.Drained == drained {
 		return
 	}
-	d := Drain{ID: id, Version: r.drained[id].Version + 1, Drained: drained}
+	d := Drain{ID: id, Version: r.drains[id].Version + 1, Drained: drained}
 	r.setDrain(d)
-	r.ownDrains = append(r.ownDrains, d)
+	r.localDrains = append(r.localDrains, d)
 }
 
-// MergeDrain takes over a decision made on another VM. It reports whether the
-// decision was news.
+// MergeDrain applies a decision that was made on another VM. It reports whether
+// the decision was newer than the known one.
 func (r *Registry) MergeDrain(d Drain) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !d.newer(r.drained[d.ID]) {
+	if !d.newer(r.drains[d.ID]) {
 		return false
 	}
 	r.setDrain(d)
@@ -50,17 +51,17 @@
 func (r *Registry) TakeOwnDrains() []Drain {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	taken := r.ownDrains
-	r.ownDrains = nil
+	taken := r.localDrains
+	r.localDrains = nil
 	return taken
 }
 
-// Drains returns every known decision, sorted by target.
+// Drains returns every known decision, sorted by target ID.
 func (r *Registry) Drains() []Drain {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	out := make([]Drain, 0, len(r.drained))
-	for _, d := range r.drained {
+	out := make([]Drain, 0, len(r.drains))
+	for _, d := range r.drains {
 		out = append(out, d)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
@@ -68,10 +69,10 @@
 }
 
 func (r *Registry) setDrain(d Drain) {
-	r.drained[d.ID] = d
+	r.drains[d.ID] = d
 	if t, ok := r.targets[d.ID]; ok {
-		replaced := *t
-		replaced.Draining = d.Drained
-		r.targets[d.ID] = &replaced
+		updated := *t
+		updated.Draining = d.Drained
+		r.targets[d.ID] = &updated
 	}
 }
--- a/internal/target/registry_test.go
+++ b/internal/target/registry_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against late announcements that revive a former incarnation, bring a
-// leaving target back or keep a silent one in use.
+// Guards against outdated announcements that restore a former incarnation or
+// bring a leaving target back into use, and against use of a target that has
+// stopped sending heartbeats.
 func TestAnnouncementsNeverGoBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistry()
@@ -29,16 +30,16 @@
 		{5, 9, true, Stale, true},
 	} {
 		if got := announce(c.incarnation, c.sequence, c.leaving); got != c.want {
-			t.Errorf("step %d: %v, want %v", i, got, c.want)
+			t.Errorf("step %d: change %v, want %v", i, got, c.want)
 		}
 		if got := len(r.Engines("m", "v", now)) == 1; got != c.usable {
 			t.Errorf("step %d: usable %v, want %v", i, got, c.usable)
 		}
 	}
 	if len(r.Engines("m", "other", now)) != 0 {
-		t.Error("an engine of another weights version is usable")
+		t.Error("an engine is usable for a weights version that it has not loaded")
 	}
 	if len(r.Engines("m", "v", now.Add(LiveFor))) != 0 {
-		t.Error("a target without heartbeats is usable")
+		t.Error("a target without a heartbeat for LiveFor is usable")
 	}
 }
--- a/internal/target/spread.go
+++ b/internal/target/spread.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// freshAge is the greatest age of a heartbeat that a zone summary vouches for:
-// the heartbeat interval plus the time of one repeated delivery inside a zone.
-// With 0.5 s between summaries it leaves 0.8 s of LiveFor for the way.
-const freshAge = 1700 * time.Millisecond
+// maxSummarizedAge is the greatest age of a heartbeat that a zone summary
+// reports as live. It is the heartbeat interval plus the time for one
+// retransmission within a zone. With summaries every 0.5 s, 0.8 s of LiveFor
+// remain for propagation.
+const maxSummarizedAge = 1700 * time.Millisecond
 
-// Key identifies one incarnation in messages between VMs.
+// Key returns a hash that identifies the incarnation in messages between VMs.
 func (r Ref) Key() uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, r.ID)
@@ -20,56 +21,58 @@
 	return h.Sum64()
 }
 
-// Beat is a heartbeat that changes nothing but the sequence and the load.
+// Beat is a heartbeat that changes only the sequence and the load of a target.
 type Beat struct {
 	// Key identifies the incarnation.
 	Key uint64
-	// Sequence is that of the heartbeat.
+	// Sequence is the sequence of the heartbeat.
 	Sequence uint64
 	// Load is the load report.
 	Load Load
 }
 
-// Beat merges a heartbeat that came through another VM. It reports whether
-// the heartbeat was news.
-func (r *Registry) Beat(b Beat, heard time.Time) bool {
+// Beat merges a heartbeat that was relayed by another VM. It reports whether
+// the heartbeat was newer than the known state. receivedAt is when a VM
+// received it from the target itself.
+func (r *Registry) Beat(b Beat, receivedAt time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old, ok := r.targets[r.byKey[b.Key]]
+	old, ok := r.targets[r.idByKey[b.Key]]
 	if !ok || b.Sequence <= old.Sequence {
 		return false
 	}
-	replaced := *old
-	replaced.Sequence = b.Sequence
-	replaced.Load = b.Load
-	replaced.LastHeard = later(heard, old.LastHeard)
-	r.targets[old.ID] = &replaced
+	updated := *old
+	updated.Sequence = b.Sequence
+	updated.Load = b.Load
+	updated.LastHeard = laterOf(receivedAt, old.LastHeard)
+	r.targets[old.ID] = &updated
 	return true
 }
 
-// Summary is what a VM vouches for about the targets of one zone.
+// Summary is the report of a VM about which targets of one zone are live.
 type Summary struct {
 	// Hash identifies the set of targets and their descriptions.
 	Hash uint64
-	// Live has a bit per target, in the order of their IDs.
+	// Live has one bit per target, in the order of their IDs.
 	Live []byte
-	// Age bounds the age of the newest heartbeat of the targets in Live.
+	// Age is the highest age among the latest heartbeats of the targets in
+	// Live.
 	Age time.Duration
 }
 
-// Zone returns the known targets of a zone, sorted by ID. The results must
-// not be changed.
+// Zone returns the known targets of a zone, sorted by ID. The caller must not
+// modify them.
 func (r *Registry) Zone(zone string) []*Target {
 	return r.filter(func(t *Target) bool { return t.Announcement.Zone == zone })
 }
 
-// Summarize describes the targets of a zone.
+// Summarize returns the summary of a zone at now.
 func (r *Registry) Summarize(zone string, now time.Time) Summary {
 	targets := r.Zone(zone)
 	s := Summary{Hash: hashTargets(targets), Live: make([]byte, (len(targets)+7)/8)}
 	for i, t := range targets {
 		age := now.Sub(t.LastHeard)
-		if age > freshAge {
+		if age > maxSummarizedAge {
 			continue
 		}
 		s.Live[i/8] |= 1 << (i % 8)
@@ -78,8 +81,9 @@
 	return s
 }
 
-// ApplySummary refreshes the targets of a zone. It reports false, and changes
-// nothing, if this VM knows another set of targets than the summary is about.
+// ApplySummary refreshes the heartbeat times of the targets in a zone. If the
+// summary covers another set of targets than this VM knows, it changes nothing
+// and returns false.
 func (r *Registry) ApplySummary(zone string, s Summary, now time.Time) bool {
 	targets := r.Zone(zone)
 	if hashTargets(targets) != s.Hash || len(s.Live) != (len(targets)+7)/8 {
@@ -87,30 +91,33 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard := now.Add(-s.Age)
+	receivedAt := now.Add(-s.Age)
 	for i, t := range targets {
-		if s.Live[i/8]&(1<<(i%8)) == 0 || r.targets[t.ID] != t || !heard.After(t.LastHeard) {
+		if s.Live[i/8]&(1<<(i%8)) == 0 || r.targets[t.ID] != t || !receivedAt.After(t.LastHeard) {
 			continue
 		}
-		replaced := *t
-		replaced.LastHeard = heard
-		r.targets[t.ID] = &replaced
+		updated := *t
+		updated.LastHeard = receivedAt
+		r.targets[t.ID] = &updated
 	}
 	return true
 }
 
+// hashTargets hashes the IDs, incarnations and descriptions of targets, which
+// must be sorted by ID.
 func hashTargets(sorted []*Target) uint64 {
 	h := fnv.New64a()
 	for _, t := range sorted {
 		_, _ = io.WriteString(h, t.ID)
 		writeUint(h, t.Incarnation)
-		writeUint(h, t.description)
+		writeUint(h, t.descriptionHash)
 	}
 	return h.Sum64()
 }
 
-// describe hashes what stays the same between two ordinary heartbeats.
-func describe(a *Announcement) uint64 {
+// hashDescription hashes the fields of an announcement that ordinary heartbeats
+// do not change.
+func hashDescription(a *Announcement) uint64 {
 	h := fnv.New64a()
 	fields := []string{string(a.Kind), a.Zone, a.Region, a.URL, a.Model, a.Service, a.Version, a.Role}
 	for _, s := range append(fields, a.Adapters...) {
