--- a/internal/daemon/access_test.go
+++ b/internal/daemon/access_test.go
@@ -9,8 +9,8 @@
 	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
-// Guards against model requests that run without a key, with an unknown key or
-// for a workspace that the route is not open to.
+// Guards against model requests that run without a key, with an unknown key, or
+// for a workspace that the route does not list.
 func TestModelRequestsRunOnlyForTheirWorkspace(t *testing.T) {
 	const otherKey = "cw-key-of-another-workspace-0123456789abcdef"
 	document := testDocument()
@@ -46,9 +46,9 @@
 		}
 	}
 	if n := engine.Started(); n != 0 {
-		t.Errorf("the engine began %d requests", n)
+		t.Errorf("the engine started %d requests, want none", n)
 	}
-	if got := ask(t, vm, "dossier", 5, nil); !got.whole() {
-		t.Errorf("the workspace of the route got %+v", got)
+	if got := ask(t, vm, "dossier", 5, nil); !got.complete() {
+		t.Errorf("request of a workspace on the route: got %+v", got)
 	}
 }
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -16,7 +16,8 @@
 	statusv1 "github.com/cuminwing/cuminwing/proto/status/v1"
 )
 
-// startAdmin serves operators' tools, and other VMs that forward their calls.
+// startAdmin registers the admin service for operators' tools and for calls
+// that other VMs forward.
 func (n *Node) startAdmin() error {
 	service := adminv1.NewAdminServiceServer(adminServer{n})
 	n.adminMux.Handle(service.PathPrefix(), service)
@@ -41,11 +42,12 @@
 	return s.node.distribution.applyEdit(ctx, req.GetEdit())
 }
 
-// History implements adminv1.AdminService. Voters have the whole history; other
-// VMs only what they have seen, so they ask a voter first.
+// History implements adminv1.AdminService. Voters hold the complete history.
+// Other VMs hold only the changes that they have received, so they query a
+// voter first.
 func (s adminServer) History(ctx context.Context, req *adminv1.HistoryRequest) (*adminv1.HistoryResponse, error) {
 	if !s.node.followsLog() && !req.GetForwarded() {
-		if answer, ok := s.historyOfVoter(ctx, req.GetLimit()); ok {
+		if answer, ok := s.historyFromVoter(ctx, req.GetLimit()); ok {
 			return answer, nil
 		}
 	}
@@ -61,11 +63,13 @@
 	return &adminv1.HistoryResponse{Changes: changes}, nil
 }
 
-func (s adminServer) historyOfVoter(ctx context.Context, limit uint32) (*adminv1.HistoryResponse, bool) {
-	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
+// historyFromVoter queries the voters, nearest first, and returns the first
+// answer.
+func (s adminServer) historyFromVoter(ctx context.Context, limit uint32) (*adminv1.HistoryResponse, bool) {
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	for _, p := range s.node.distribution.votersByDistance() {
-		answer, err := s.forwardTo(p).History(ctx, &adminv1.HistoryRequest{Limit: limit, Forwarded: true})
+		answer, err := s.adminClient(p).History(ctx, &adminv1.HistoryRequest{Limit: limit, Forwarded: true})
 		if err == nil {
 			return answer, true
 		}
@@ -125,17 +129,17 @@
 		Targets:  s.countTargets(),
 	}
 	self := peer{s.node.settings.VM, own.GetZone(), own.GetRegion(), s.node.settings.PeerAddress, s.node.settings.Voter()}
-	response.Vms = append(s.askVMs(ctx), vmStatus(self, own))
+	response.Vms = append(s.collectVMStatus(ctx), vmStatus(self, own))
 	if response.Leader == "" {
-		response.Leader = leaderSeen(response.Vms)
+		response.Leader = leaderReportedByVoters(response.Vms)
 	}
 	sort.Slice(response.Vms, func(i, j int) bool { return response.Vms[i].GetName() < response.Vms[j].GetName() })
 	return response, nil
 }
 
-// leaderSeen returns the leader that the voters see. A VM that is no voter
-// learns the leader only from its own calls to the log.
-func leaderSeen(vms []*adminv1.VM) string {
+// leaderReportedByVoters returns the leader that a voter reports. A VM that is
+// not a voter learns the leader only from its own calls to the log.
+func leaderReportedByVoters(vms []*adminv1.VM) string {
 	for _, vm := range vms {
 		if vm.GetVoter() && vm.GetLeader() != "" {
 			return vm.GetLeader()
@@ -144,10 +148,11 @@
 	return ""
 }
 
-func (s adminServer) askVMs(ctx context.Context) []*adminv1.VM {
-	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
+// collectVMStatus requests the status of all other VMs in parallel.
+func (s adminServer) collectVMStatus(ctx context.Context) []*adminv1.VM {
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
-	answers := make(chan *adminv1.VM, len(s.node.peers())+maxParallelCalls)
+	answers := make(chan *adminv1.VM, len(s.node.peers())+maxConcurrentCalls)
 	s.node.broadcast(ctx, func(ctx context.Context, p peer) {
 		client := statusv1.NewStatusServiceProtobufClient(s.node.peerURL(p.address), s.node.peerClient)
 		answer, err := client.Get(ctx, &statusv1.GetRequest{})
@@ -164,7 +169,8 @@
 	return vms
 }
 
-// vmStatus joins what is known of a VM with its answer, nil for none.
+// vmStatus combines the membership data of a VM with its status response, which
+// is nil if the VM did not answer.
 func vmStatus(p peer, answer *statusv1.GetResponse) *adminv1.VM {
 	vm := &adminv1.VM{Name: p.vm, Zone: p.zone, Region: p.region, Voter: p.voter, PeerAddress: p.address}
 	if answer == nil {
@@ -179,7 +185,7 @@
 	return vm
 }
 
-// States of a target in the operators' views.
+// States of a target as shown to operators.
 const (
 	targetLive     = "live"
 	targetSilent   = "silent"
@@ -226,10 +232,10 @@
 	return response, nil
 }
 
-// DrainTarget implements adminv1.AdminService. Membership spreads the decision;
-// a forwarded call only waits for it. If each VM decided for itself, a late call
-// could undo a newer decision. A VM that restarts learns of drains from the
-// others.
+// DrainTarget implements adminv1.AdminService. Membership distributes the drain
+// decision; a forwarded call only waits until the decision has arrived. If each
+// VM applied the call itself, a late call could overwrite a newer decision. A
+// VM that restarts learns the drain decisions from the other VMs.
 func (s adminServer) DrainTarget(ctx context.Context, req *adminv1.DrainTargetRequest) (*adminv1.DrainTargetResponse, error) {
 	if req.GetForwarded() {
 		return &adminv1.DrainTargetResponse{}, s.awaitDrain(ctx, req)
@@ -238,17 +244,18 @@
 		return nil, twirp.NotFoundError("this VM knows no target " + req.GetId())
 	}
 	s.node.registry.Drain(req.GetId(), !req.GetResume())
-	s.node.logger.Info("target drained by an operator", zap.String("target", req.GetId()), zap.Bool("resume", req.GetResume()))
+	s.node.logger.Info("operator changed the drain state of a target", zap.String("target", req.GetId()), zap.Bool("resume", req.GetResume()))
 	return &adminv1.DrainTargetResponse{Zones: s.forwardDrain(ctx, req)}, nil
 }
 
-// awaitDrain returns once the decision has arrived here.
+// awaitDrain returns when this VM has received the drain decision, or an error
+// when pushTimeout expires.
 func (s adminServer) awaitDrain(ctx context.Context, req *adminv1.DrainTargetRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !s.drainIs(req.GetId(), !req.GetResume()) {
+	for !s.hasDrainDecision(req.GetId(), !req.GetResume()) {
 		select {
 		case <-ctx.Done():
 			return twirp.NewError(twirp.DeadlineExceeded, "the decision has not arrived here")
@@ -258,9 +265,9 @@
 	return nil
 }
 
-// drainIs reports whether the decision about a target is known here. A target
-// without a decision is in service.
-func (s adminServer) drainIs(id string, drained bool) bool {
+// hasDrainDecision reports whether this VM has the given drain state for a
+// target. A target without a decision counts as not drained.
+func (s adminServer) hasDrainDecision(id string, drained bool) bool {
 	for _, d := range s.node.registry.Drains() {
 		if d.ID == id {
 			return d.Drained == drained
@@ -269,16 +276,18 @@
 	return !drained
 }
 
-func (s adminServer) forwardTo(p peer) adminv1.AdminService {
+func (s adminServer) adminClient(p peer) adminv1.AdminService {
 	return adminv1.NewAdminServiceProtobufClient(s.node.peerURL(p.address), s.node.peerClient)
 }
 
+// forwardDrain waits for the other VMs to receive the drain decision and counts
+// the confirmations by zone.
 func (s adminServer) forwardDrain(ctx context.Context, req *adminv1.DrainTargetRequest) []*adminv1.ZoneReach {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	forwarded := &adminv1.DrainTargetRequest{Id: req.GetId(), EditId: req.GetEditId(), Resume: req.GetResume(), Forwarded: true}
-	return s.node.poll(ctx, true, func(ctx context.Context, p peer) (string, bool) {
-		_, err := s.forwardTo(p).DrainTarget(ctx, forwarded)
+	return s.node.pollPeers(ctx, true, func(ctx context.Context, p peer) (string, bool) {
+		_, err := s.adminClient(p).DrainTarget(ctx, forwarded)
 		return "", err == nil
 	})
 }
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -16,18 +16,19 @@
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
-// benchSlots keeps the queue out of the measurement.
+// benchSlots is high enough that requests never queue during a benchmark.
 const benchSlots = 1000
 
-// benchDocument has a rate that no benchmark reaches, so that waits for tokens
-// are left out.
+// benchDocument returns a document with a token rate that no benchmark reaches,
+// so that the results include no waits for tokens.
 func benchDocument() config.Document {
 	document := testDocument()
 	document.Rates["yards"] = config.Rate{RateTokensPerSecond: 1e10, BurstTokens: 1e10}
 	return document
 }
 
-// benchEngine starts an engine that sends tokens as fast as it can.
+// benchEngine starts an engine that sends one token per interval; with 0 it
+// sends them without delay.
 func benchEngine(b *testing.B, vm *testVM, interval time.Duration) *standin.Engine {
 	b.Helper()
 	e, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{
@@ -42,7 +43,7 @@
 	return e
 }
 
-// firstToken returns the time to the first event of a stream.
+// firstToken returns the time until the first event of a stream arrives.
 func firstToken(b *testing.B, url string) time.Duration {
 	start := time.Now()
 	resp, err := send(context.Background(), http.MethodPost, url, testKey, chatBody(strings.Repeat("oak ", 1000), 2, true))
@@ -58,8 +59,9 @@
 	return took
 }
 
-// BenchmarkFirstToken measures what the router adds to the time to first token
-// against a direct call. The target is 1 ms at the median and 3 ms at p99.
+// BenchmarkFirstToken measures the latency that the router adds to the first
+// token, compared with a direct call. The target is 1 ms at p50 and 3 ms at
+// p99.
 func BenchmarkFirstToken(b *testing.B) {
 	vm := startVM(b, "muc-a", benchDocument())
 	engine := benchEngine(b, vm, 0)
@@ -80,8 +82,8 @@
 	return samples[int(at*float64(len(samples)-1))]
 }
 
-// BenchmarkTokens measures streamed tokens per second and core. The core time
-// includes the engine and the caller, which run in the same process. The
+// BenchmarkTokens measures streamed tokens per second and per CPU core. The CPU
+// time includes the engine and the caller, which run in the same process. The
 // target is 10,000 for the router alone.
 func BenchmarkTokens(b *testing.B) {
 	const streams, tokens = 16, 2000
@@ -92,7 +94,7 @@
 	for b.Loop() {
 		var wg sync.WaitGroup
 		for range streams {
-			wg.Go(func() { drain(b, vm, tokens) })
+			wg.Go(func() { readStream(b, vm, tokens) })
 		}
 		wg.Wait()
 		total += streams * tokens
@@ -101,7 +103,7 @@
 	b.ReportMetric(float64(total)/(processTime(b)-cpu).Seconds(), "tokens/core-s")
 }
 
-func drain(b *testing.B, vm *testVM, tokens int) {
+func readStream(b *testing.B, vm *testVM, tokens int) {
 	resp, err := send(context.Background(), http.MethodPost, vm.base+"/v1/chat/completions", testKey, chatBody("dossier", tokens, true))
 	if err != nil {
 		b.Error(err)
@@ -110,13 +112,13 @@
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
 	if !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
-		b.Errorf("stream is not whole: %.200s", body)
+		b.Errorf("incomplete stream: %.200s", body)
 	}
 }
 
-// BenchmarkOpenStreams measures the memory of one open stream. Engine and
-// caller run in the same process and are included; the target of 64 KB is for
-// the router alone.
+// BenchmarkOpenStreams measures the memory per open stream. It includes the
+// engine and the caller, which run in the same process; the target of 64 KB
+// applies to the router alone.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 300
 	for b.Loop() {
@@ -147,14 +149,14 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// BenchmarkClaim measures an order through three voters with synced logs
-// against a call of the same service without a claim. The target is under 5 ms
-// at p99.
+// BenchmarkClaim compares a request whose claim is replicated to three voters
+// with synced logs with a request to a service without claims. The target for
+// the added latency is less than 5 ms at p99.
 func BenchmarkClaim(b *testing.B) {
 	vms := startVMs(b, benchDocument(), "muc-a", "muc-b", "muc-a")
 	startService(b, "orders", "o1", vms...)
 	startService(b, "stock", "s1", vms...)
-	await(b, "control log", func() bool {
+	await(b, "control log is available", func() bool {
 		status, _, _ := call(b, "POST", vms[0].base+"/orders", testKey, "x")
 		return status == 200
 	})
--- a/internal/daemon/reach.go
+++ b/internal/daemon/broadcast.go
@@ -8,12 +8,12 @@
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 )
 
-// maxParallelCalls bounds the calls to other VMs that one broadcast runs at
-// the same time. It is above the 350 VMs of the design size, so that VMs which
-// stay silent do not use up the time for the others.
-const maxParallelCalls = 512
+// maxConcurrentCalls limits the concurrent calls of one broadcast. It exceeds
+// the 350 VMs of the design size, so that VMs that do not answer do not use up
+// the time for the others.
+const maxConcurrentCalls = 512
 
-// peer is another VM as the target of a call.
+// peer is another VM as the destination of a call.
 type peer struct {
 	vm      string
 	zone    string
@@ -23,7 +23,7 @@
 }
 
 // peers returns the other VMs: the live members, and the voters of the
-// settings, whose zones are unknown until they have been members.
+// settings. The zone of a voter is unknown until it has been a member.
 func (n *Node) peers() []peer {
 	var peers []peer
 	known := map[string]bool{n.settings.VM: true}
@@ -52,17 +52,17 @@
 	return peers
 }
 
-// zoneTally counts by zone which VMs confirmed.
+// zoneTally counts by zone which VMs have confirmed.
 type zoneTally struct {
 	mu    sync.Mutex
 	zones map[string]*adminv1.ZoneReach
 }
 
-// unknownZone stands for voters that have never answered nor been members.
+// unknownZone stands for voters that have neither answered nor been members.
 const unknownZone = "unknown"
 
-// newTally lists the zones of the document, so that a zone without any known
-// VM shows as not reached.
+// newTally returns a tally with the zones of the document, so that a zone
+// without any known VM is shown as not reached.
 func (n *Node) newTally() *zoneTally {
 	t := &zoneTally{zones: make(map[string]*adminv1.ZoneReach)}
 	if snapshot := n.Snapshot(); snapshot != nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// reach returns the zones sorted by name.
-func (t *zoneTally) reach() []*adminv1.ZoneReach {
+// result returns the zones sorted by name.
+func (t *zoneTally) result() []*adminv1.ZoneReach {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*adminv1.ZoneReach, 0, len(t.zones))
@@ -106,11 +106,11 @@
 	return out
 }
 
-// broadcast calls f for every other VM, some at a time, and returns when all
-// calls have ended.
+// broadcast calls f for every other VM, up to maxConcurrentCalls at a time, and
+// returns when all calls have ended.
 func (n *Node) broadcast(ctx context.Context, f func(ctx context.Context, p peer)) {
 	var group sync.WaitGroup
-	slots := make(chan struct{}, maxParallelCalls)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for _, p := range n.peers() {
 		slots <- struct{}{}
 		group.Go(func() {
@@ -121,9 +121,9 @@
 	group.Wait()
 }
 
-// poll asks every other VM to confirm and counts the answers by zone. Confirm
-// returns the zone that the VM states, and whether it confirmed.
-func (n *Node) poll(ctx context.Context, self bool, confirm func(ctx context.Context, p peer) (string, bool)) []*adminv1.ZoneReach {
+// pollPeers asks every other VM for a confirmation and counts the answers by
+// zone. confirm returns the zone that the VM states, and whether it confirmed.
+func (n *Node) pollPeers(ctx context.Context, self bool, confirm func(ctx context.Context, p peer) (string, bool)) []*adminv1.ZoneReach {
 	tally := n.newTally()
 	tally.count(n.settings.Zone, self)
 	n.broadcast(ctx, func(ctx context.Context, p peer) {
@@ -133,5 +133,5 @@
 		}
 		tally.count(zone, ok)
 	})
-	return tally.reach()
+	return tally.result()
 }
--- a/internal/daemon/cachereader.go
+++ b/internal/daemon/cachereader.go
@@ -16,86 +16,91 @@
 )
 
 const (
-	// eventPause collects the events of a short time into one publication
-	// per owner.
-	eventPause = 20 * time.Millisecond
-	// eventRetry is the pause after an error.
-	eventRetry = 200 * time.Millisecond
-	// loadInterval is how often the load is read, as often as heartbeats come.
-	loadInterval = target.HeartbeatInterval
+	// eventBatchInterval is the pause between two reads of cache events, so that
+	// the events of this interval go to each owner in one message.
+	eventBatchInterval = 20 * time.Millisecond
+	// eventRetryDelay is the delay before reading events again after an error.
+	eventRetryDelay = 200 * time.Millisecond
+	// loadPollInterval is how often the load of a target is read. It equals the
+	// interval of the targets' heartbeats.
+	loadPollInterval = target.HeartbeatInterval
 )
 
-// cacheReader reads the event stream of one incarnation and forwards it to
-// the owners of the chains.
+// cacheReader reads the cache events of one target incarnation and forwards
+// them to the owners of the prefix chains.
 type cacheReader struct {
-	duty   *routingDuty
+	index  *regionIndex
 	ref    target.Ref
 	url    string
 	cancel context.CancelFunc
-	// forwarder is nil until a snapshot was read.
+	// forwarder is nil until the first snapshot has been read.
 	forwarder *prefix.Forwarder
-	after     uint64
+	// lastSequence is the sequence number up to which events have been read; 0
+	// requests a snapshot.
+	lastSequence uint64
 }
 
-func (r *routingDuty) startReader(ctx context.Context, t *target.Target) *cacheReader {
+func (r *regionIndex) startReader(ctx context.Context, t *target.Target) *cacheReader {
 	ctx, cancel := context.WithCancel(ctx)
-	reader := &cacheReader{duty: r, ref: t.Ref(), url: t.URL, cancel: cancel}
-	r.done.Go(func() { reader.run(ctx) })
-	r.done.Go(func() { every(ctx, loadInterval, func() { reader.readLoad(ctx) }) })
+	reader := &cacheReader{index: r, ref: t.Ref(), url: t.URL, cancel: cancel}
+	r.tasks.Go(func() { reader.run(ctx) })
+	r.tasks.Go(func() { every(ctx, loadPollInterval, func() { reader.publishLoad(ctx) }) })
 	return reader
 }
 
-// readLoad shares the load with the other zones of the region.
-func (c *cacheReader) readLoad(ctx context.Context) {
-	if !c.duty.otherZones() {
+// publishLoad sends the load of the target to the VMs of the other zones of the
+// region.
+func (c *cacheReader) publishLoad(ctx context.Context) {
+	if !c.index.spansZones() {
 		return
 	}
-	if l, err := c.duty.cache.Load(ctx, c.url); err == nil {
-		c.duty.shareLoad(c.ref, l)
+	if l, err := c.index.cache.Load(ctx, c.url); err == nil {
+		c.index.broadcastLoad(c.ref, l)
 	}
 }
 
 func (c *cacheReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		answer, err := c.duty.cache.Events(ctx, c.url, c.after)
+		answer, err := c.index.cache.Events(ctx, c.url, c.lastSequence)
 		var status *serving.StatusError
 		if errors.As(err, &status) && status.Status == http.StatusNotFound {
-			// The target reports no events; predictions have to do.
+			// The target does not report cache events, so the index relies on
+			// predictions for it.
 			return
 		}
 		if err != nil || answer.Incarnation != c.ref.Incarnation {
-			c.lost(ctx)
-			wait(ctx, eventRetry)
+			c.reportGap(ctx)
+			sleep(ctx, eventRetryDelay)
 			continue
 		}
 		if !c.forward(ctx, answer) {
-			c.after = 0
-			wait(ctx, eventRetry)
+			c.lastSequence = 0
+			sleep(ctx, eventRetryDelay)
 			continue
 		}
-		wait(ctx, eventPause)
+		sleep(ctx, eventBatchInterval)
 	}
 }
 
-// forward passes an answer on. It reports false if the whole content has to
-// be read again.
+// forward passes the events to the owners. It returns false if the cache
+// contents must be read again as a snapshot.
 func (c *cacheReader) forward(ctx context.Context, answer targethttp.CacheEvents) bool {
 	if answer.Snapshot {
-		c.after = answer.Through
-		c.forwarder = prefix.NewForwarder(c.ref, rand.Uint64(), c.duty.peers.Load().owners)
-		return c.duty.publish(ctx, c.forwarder.Snapshot(answer.Events))
+		c.lastSequence = answer.Through
+		c.forwarder = prefix.NewForwarder(c.ref, rand.Uint64(), c.index.peers.Load().owners)
+		return c.index.publish(ctx, c.forwarder.Snapshot(answer.Events))
 	}
-	if c.forwarder == nil || !c.whole(answer) {
-		c.lost(ctx)
+	if c.forwarder == nil || !c.contiguous(answer) {
+		c.reportGap(ctx)
 		return false
 	}
-	c.after = answer.Through
-	return c.duty.publish(ctx, c.forwarder.Split(answer.Events))
+	c.lastSequence = answer.Through
+	return c.index.publish(ctx, c.forwarder.Split(answer.Events))
 }
 
-// whole reports whether no number is missing.
-func (c *cacheReader) whole(answer targethttp.CacheEvents) bool {
-	next := c.after + 1
+// contiguous reports whether the events follow lastSequence without a gap.
+func (c *cacheReader) contiguous(answer targethttp.CacheEvents) bool {
+	next := c.lastSequence + 1
 	for _, e := range answer.Events {
 		if e.Sequence != next {
 			return false
@@ -105,17 +110,18 @@
 	return answer.Through+1 == next
 }
 
-// lost marks the entries uncertain at every owner, once, and asks for a snapshot next.
-func (c *cacheReader) lost(ctx context.Context) {
-	if c.after != 0 && c.forwarder != nil {
-		c.duty.node.logger.Info("cache events are missing; asking for a resync", zap.String("target", c.ref.ID))
-		c.duty.publish(ctx, c.forwarder.Gap())
+// reportGap marks the entries of the target as uncertain at every owner, once
+// per gap, and makes the next read request a snapshot.
+func (c *cacheReader) reportGap(ctx context.Context) {
+	if c.lastSequence != 0 && c.forwarder != nil {
+		c.index.node.logger.Info("gap in cache events of target; requesting a snapshot", zap.String("target", c.ref.ID))
+		c.index.publish(ctx, c.forwarder.Gap())
 	}
-	c.after = 0
+	c.lastSequence = 0
 	c.forwarder = nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/daemon/callertls.go
+++ b/internal/daemon/callertls.go
@@ -12,27 +12,30 @@
 	"github.com/cuminwing/cuminwing/internal/settings"
 )
 
-// certificateCheck is how often a handshake looks for a new certificate file.
-const certificateCheck = time.Second
+// certificateCheckInterval limits how often handshakes check the certificate
+// files for changes.
+const certificateCheckInterval = time.Second
 
-// certificate is the certificate shown to callers. A changed file is read at
-// the next handshake; running connections keep theirs.
-type certificate struct {
+// certificateReloader provides the TLS certificate for the caller listener. A
+// changed file is loaded at the next handshake; established connections keep
+// the old certificate.
+type certificateReloader struct {
 	files  settings.TLS
 	logger *zap.Logger
 
-	mu      sync.Mutex
-	current *tls.Certificate
-	stamp   string
-	checked time.Time
+	mu          sync.Mutex
+	current     *tls.Certificate
+	fingerprint string
+	lastCheck   time.Time
 }
 
-// callerTLS returns the TLS configuration for callers; nil without one.
+// callerTLS returns the TLS configuration of the caller listener, or nil if the
+// settings have no certificate.
 func (n *Node) callerTLS() (*tls.Config, error) {
 	if n.settings.CallerTLS == nil {
 		return nil, nil
 	}
-	c := &certificate{files: *n.settings.CallerTLS, logger: n.logger}
+	c := &certificateReloader{files: *n.settings.CallerTLS, logger: n.logger}
 	if err := c.load(); err != nil {
 		return nil, err
 	}
@@ -42,27 +45,27 @@
 	}, nil
 }
 
-func (c *certificate) get() *tls.Certificate {
+func (c *certificateReloader) get() *tls.Certificate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.checked) < certificateCheck {
+	if time.Since(c.lastCheck) < certificateCheckInterval {
 		return c.current
 	}
 	if err := c.load(); err != nil {
-		c.logger.Error("new caller certificate refused; the former one stays", zap.Error(err))
+		c.logger.Error("failed to load the changed caller certificate; keeping the previous one", zap.Error(err))
 	}
 	return c.current
 }
 
-// load reads the files if they changed. A pair that does not fit is tried
-// again after the next change only.
-func (c *certificate) load() error {
-	c.checked = time.Now()
-	stamp := fileStamp(c.files.CertFile) + fileStamp(c.files.KeyFile)
-	if stamp == c.stamp {
+// load reads the files if they have changed. If certificate and key do not
+// match, load does not try again until a file changes again.
+func (c *certificateReloader) load() error {
+	c.lastCheck = time.Now()
+	stamp := fileFingerprint(c.files.CertFile) + fileFingerprint(c.files.KeyFile)
+	if stamp == c.fingerprint {
 		return nil
 	}
-	c.stamp = stamp
+	c.fingerprint = stamp
 	pair, err := tls.LoadX509KeyPair(c.files.CertFile, c.files.KeyFile)
 	if err != nil {
 		return fmt.Errorf("load caller certificate: %w", err)
@@ -71,7 +74,9 @@
 	return nil
 }
 
-func fileStamp(name string) string {
+// fileFingerprint identifies a version of a file by its modification time and
+// size.
+func fileFingerprint(name string) string {
 	info, err := os.Stat(name)
 	if err != nil {
 		return "missing;"
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -23,22 +23,22 @@
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
-// testLog stands in for the control log: one process-wide sequence of commands
-// that is applied to the parts of every voter.
+// testLog replaces the control log with one sequence of commands in memory,
+// which is applied to the parts of every voter.
 type testLog struct {
-	mu       sync.Mutex
-	entries  [][]byte
-	machines map[string]*control.Machine
-	cut      map[string]bool
-	// loseAnswers is the number of answers that get lost after the commit.
-	loseAnswers int
+	mu          sync.Mutex
+	entries     [][]byte
+	machines    map[string]*control.Machine
+	partitioned map[string]bool
+	// lostAnswers is how many of the next answers are lost after the commit.
+	lostAnswers int
 }
 
 func newTestLog() *testLog {
-	return &testLog{machines: make(map[string]*control.Machine), cut: make(map[string]bool)}
+	return &testLog{machines: make(map[string]*control.Machine), partitioned: make(map[string]bool)}
 }
 
-// attach returns the log as seen from vm. A voter replays all commands.
+// attach returns the log as vm sees it. A voter first replays all commands.
 func (l *testLog) attach(vm string, voter bool, parts map[control.Kind]control.Part) control.Log {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,10 +52,10 @@
 	return &vmLog{l, vm}
 }
 
-func (l *testLog) setCut(vm string, cut bool) {
+func (l *testLog) setPartitioned(vm string, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut[vm] = cut
+	l.partitioned[vm] = cut
 }
 
 type vmLog struct {
@@ -69,7 +69,7 @@
 	l := v.log
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut[v.vm] {
+	if l.partitioned[v.vm] {
 		return nil, control.ErrNotCommitted
 	}
 	command := control.EncodeCommand(kind, time.UnixMilli(0), body)
@@ -82,8 +82,8 @@
 		}
 		answer = a
 	}
-	if l.loseAnswers > 0 {
-		l.loseAnswers--
+	if l.lostAnswers > 0 {
+		l.lostAnswers--
 		return nil, control.ErrUncertain
 	}
 	return answer, nil
@@ -92,7 +92,7 @@
 func (v *vmLog) Barrier(context.Context) (uint64, error) {
 	v.log.mu.Lock()
 	defer v.log.mu.Unlock()
-	if v.log.cut[v.vm] {
+	if v.log.partitioned[v.vm] {
 		return 0, errors.New("no quorum")
 	}
 	return uint64(len(v.log.entries)), nil
@@ -102,7 +102,7 @@
 
 func (v *vmLog) HoldsLease() bool { return v.vm == testLeader }
 
-// testCluster runs VMs in one process. The first VMs are voters.
+// testCluster runs several VMs in one process. The first ones are voters.
 type testCluster struct {
 	t      testing.TB
 	log    *testLog
@@ -110,7 +110,7 @@
 	peers  map[string]string
 	gossip map[string]string
 	nodes  map[string]*Node
-	// skew is added to the clocks of all VMs.
+	// skew is an offset in nanoseconds added to the clocks of all VMs.
 	skew atomic.Int64
 
 	mu      sync.Mutex
@@ -156,7 +156,7 @@
 	return s
 }
 
-// start runs VM i in a zone.
+// start starts VM i in a zone.
 func (c *testCluster) start(i int, zone string, change func(*settings.Settings)) *Node {
 	c.t.Helper()
 	s := c.settings(i, zone)
@@ -181,7 +181,7 @@
 	return n
 }
 
-// awaitMembers returns once every VM sees all others.
+// awaitMembers waits until every VM sees all others.
 func (c *testCluster) awaitMembers() {
 	c.t.Helper()
 	await(c.t, "all VMs are members", func() bool {
@@ -194,8 +194,8 @@
 	})
 }
 
-// cutPacketConn drops the packets of VMs that are partitioned.
-type cutPacketConn struct {
+// partitionedPacketConn drops packets from and to partitioned VMs.
+type partitionedPacketConn struct {
 	net.PacketConn
 	cluster *testCluster
 	vm      string
@@ -203,10 +203,10 @@
 
 func (c *testCluster) listenPacket(vm, address string) (net.PacketConn, error) {
 	conn, err := net.ListenPacket("udp", address)
-	return cutPacketConn{conn, c, vm}, err
+	return partitionedPacketConn{conn, c, vm}, err
 }
 
-func (p cutPacketConn) WriteTo(data []byte, to net.Addr) (int, error) {
+func (p partitionedPacketConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	p.cluster.mu.Lock()
 	cut := p.cluster.blocked[p.vm]
 	for name, address := range p.cluster.gossip {
@@ -241,10 +241,11 @@
 	}
 }
 
-// partition cuts a VM off from all others and from the log, or heals it.
+// partition isolates a VM from all others and from the log, or ends the
+// partition.
 func (c *testCluster) partition(i int, cut bool) {
 	vm := vmName(i)
-	c.log.setCut(vm, cut)
+	c.log.setPartitioned(vm, cut)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.blocked[vm] = cut
@@ -254,7 +255,7 @@
 	c.conns[vm] = nil
 }
 
-// testAddress returns an address that is free for TCP and UDP.
+// testAddress returns a loopback address that is free for both TCP and UDP.
 func testAddress(t testing.TB) string {
 	t.Helper()
 	address, err := loopback.Address()
@@ -264,7 +265,7 @@
 	return address
 }
 
-func adminOf(n *Node) adminv1.AdminService {
+func adminClientOf(n *Node) adminv1.AdminService {
 	return adminv1.NewAdminServiceProtobufClient("http://"+n.settings.AdminAddress, http.DefaultClient)
 }
 
@@ -297,7 +298,7 @@
 
 func applyEdit(t testing.TB, n *Node, edit *configv1.Edit) *adminv1.ApplyConfigResponse {
 	t.Helper()
-	response, err := adminOf(n).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit})
+	response, err := adminClientOf(n).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -309,16 +310,16 @@
 	return &configv1.Edit{Id: id, Sections: []*configv1.SectionEdit{{Section: "rates", BaseRevision: base, Patch: []byte(patch)}}}
 }
 
-func wantAccepted(t testing.TB, r *adminv1.ApplyConfigResponse) uint64 {
+func requireAccepted(t testing.TB, r *adminv1.ApplyConfigResponse) uint64 {
 	t.Helper()
 	if r.GetResult().GetOutcome() != configv1.Outcome_OUTCOME_ACCEPTED {
-		t.Fatalf("edit was refused: %v", r.GetResult())
+		t.Fatalf("edit was rejected: %v", r.GetResult())
 	}
 	return r.GetResult().GetRevision()
 }
 
-// callerStatus asks for the list of models with the test key, which needs a usable
-// key but no target.
+// callerStatus lists the models with the test key and returns the status. The
+// request needs a valid key but no target.
 func callerStatus(n *Node) int {
 	r := httptest.NewRequest(http.MethodGet, "/v1/models", nil)
 	r.Header.Set("Authorization", "Bearer "+clusterKey)
--- a/internal/daemon/inforce.go
+++ b/internal/daemon/configedit.go
@@ -19,28 +19,34 @@
 )
 
 const (
-	// proposeTimeout bounds one proposal; the tool resends with the same ID.
+	// proposeTimeout limits one proposal. The operator's tool resends an edit
+	// with the same ID.
 	proposeTimeout = 4 * time.Second
-	// ownWait and peersWait bound the wait for an accepted edit to be in
-	// force here and elsewhere. Together they stay under 5 s, the time in
-	// which every reachable VM must have it.
-	ownWait   = 1500 * time.Millisecond
-	peersWait = 3 * time.Second
-	// answerMargin is the time that a Notify answer may take on its way.
-	answerMargin = 300 * time.Millisecond
-	hintTimeout  = time.Second
-	// leaderHintDelay gives the VM that accepted the edit, which notifies the
-	// others itself, time to do so.
-	leaderHintDelay = 500 * time.Millisecond
+	// localActivationTimeout and peerActivationTimeout limit the wait for an
+	// accepted edit to become active on this VM and on the others. Their sum
+	// stays below 5 s, the time within which every reachable VM must have the
+	// edit.
+	localActivationTimeout = 1500 * time.Millisecond
+	peerActivationTimeout  = 3 * time.Second
+	// notifyLatencyMargin is added to the wait of Notify calls for the network
+	// latency of the response.
+	notifyLatencyMargin = 300 * time.Millisecond
+	// peerRequestTimeout limits short calls to other VMs: status, history and
+	// notifications of stale members.
+	peerRequestTimeout = time.Second
+	// leaderNotifyDelay gives the VM that accepted the edit time to notify the
+	// others itself.
+	leaderNotifyDelay = 500 * time.Millisecond
 )
 
-// errNoLog means that this VM reaches no voter yet.
-var errNoLog = twirp.NewError(twirp.Unavailable, "this VM has no access to the control log")
+// errLogUnavailable is returned until this VM has opened the control log.
+var errLogUnavailable = twirp.NewError(twirp.Unavailable, "this VM has no access to the control log")
 
-// propose commits a command and translates the errors for operators' tools.
+// propose commits a command and translates errors to Twirp errors for
+// operators' tools.
 func (n *Node) propose(ctx context.Context, kind control.Kind, body []byte) ([]byte, error) {
 	if n.log == nil {
-		return nil, errNoLog
+		return nil, errLogUnavailable
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -55,14 +61,14 @@
 	}
 }
 
-// marshalEdit gives an edit the same bytes on every VM, because a resend is
-// recognised by their hash.
+// marshalEdit encodes an edit deterministically, so that every VM produces the
+// same bytes. A resent edit is recognized by their hash.
 func marshalEdit(edit *configv1.Edit) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(edit)
 }
 
-// applyEdit commits an edit. For an accepted edit it waits a bounded time and
-// states where it is in force.
+// applyEdit commits an edit. If the edit is accepted, it waits for a limited
+// time and reports by zone how many VMs have activated it.
 func (d *distribution) applyEdit(ctx context.Context, edit *configv1.Edit) (*adminv1.ApplyConfigResponse, error) {
 	body, err := marshalEdit(edit)
 	if err != nil {
@@ -78,28 +84,30 @@
 	}
 	response := &adminv1.ApplyConfigResponse{Result: &result}
 	if result.GetOutcome() == configv1.Outcome_OUTCOME_ACCEPTED {
-		response.Zones = d.confirm(ctx, result.GetRevision())
+		response.Zones = d.awaitActivation(ctx, result.GetRevision())
 	}
 	return response, nil
 }
 
-// confirm brings revision in force here and on every known VM that can be
-// reached, and returns how far it got.
-func (d *distribution) confirm(ctx context.Context, revision uint64) []*adminv1.ZoneReach {
-	here := d.awaitOwn(ctx, revision)
+// awaitActivation waits until the revision is active on this VM and on all
+// known VMs that can be reached, and returns the counts by zone.
+func (d *distribution) awaitActivation(ctx context.Context, revision uint64) []*adminv1.ZoneReach {
+	here := d.awaitLocalActivation(ctx, revision)
 	source := d.node.settings.PeerAddress
 	if !here {
 		source = d.leaderAddress()
 	}
-	ctx, cancel := context.WithTimeout(ctx, peersWait+answerMargin)
+	ctx, cancel := context.WithTimeout(ctx, peerActivationTimeout+notifyLatencyMargin)
 	defer cancel()
-	return d.node.poll(ctx, here, func(ctx context.Context, p peer) (string, bool) {
-		return d.notify(ctx, p, hint{revision, source}, peersWait)
+	return d.node.pollPeers(ctx, here, func(ctx context.Context, p peer) (string, bool) {
+		return d.notify(ctx, p, hint{revision, source}, peerActivationTimeout)
 	})
 }
 
-func (d *distribution) awaitOwn(ctx context.Context, revision uint64) bool {
-	ctx, cancel := context.WithTimeout(ctx, ownWait)
+// awaitLocalActivation waits until the revision is active on this VM. A VM that
+// does not follow the log pulls it from the leader.
+func (d *distribution) awaitLocalActivation(ctx context.Context, revision uint64) bool {
+	ctx, cancel := context.WithTimeout(ctx, localActivationTimeout)
 	defer cancel()
 	if d.revision() < revision && !d.node.followsLog() {
 		select {
@@ -110,7 +118,8 @@
 	return d.awaitRevision(ctx, revision) >= revision
 }
 
-// leaderAddress returns the peer address of the leader, empty if unknown.
+// leaderAddress returns the peer address of the leader, or an empty string if
+// it is unknown.
 func (d *distribution) leaderAddress() string {
 	if d.node.log == nil {
 		return ""
@@ -127,7 +136,9 @@
 	return ""
 }
 
-func (d *distribution) notify(ctx context.Context, p peer, h hint, wait time.Duration) (zone string, inForce bool) {
+// notify tells p about a revision and reports the zone of p and whether the
+// revision became active there within wait.
+func (d *distribution) notify(ctx context.Context, p peer, h hint, wait time.Duration) (zone string, active bool) {
 	client := configv1.NewConfigServiceProtobufClient(d.node.peerURL(p.address), d.node.peerClient)
 	answer, err := client.Notify(ctx, &configv1.NotifyRequest{
 		Revision: h.revision,
@@ -141,31 +152,33 @@
 	return answer.GetZone(), answer.GetRevision() >= h.revision
 }
 
-// pushHints is the leader's push. It covers the case that the VM that accepted
-// the edit dies before it has told the others. It has a goroutine of its own,
-// because the delay must not hold up later revisions on this VM.
-func (d *distribution) pushHints(ctx context.Context) {
+// notifyAsLeader notifies the other VMs of new revisions while this VM is the
+// leader. It covers the case that the VM that accepted an edit fails before it
+// has notified the others. It runs in its own goroutine, so that
+// leaderNotifyDelay does not delay the activation of later revisions on this
+// VM.
+func (d *distribution) notifyAsLeader(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.push:
+		case <-d.notifyDue:
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(leaderHintDelay):
+		case <-time.After(leaderNotifyDelay):
 		}
 		if d.node.log != nil && d.node.log.HoldsLease() {
-			d.hintMembers(ctx)
+			d.notifyStaleMembers(ctx)
 		}
 	}
 }
 
-func (d *distribution) hintMembers(ctx context.Context) {
-	behind := d.membersBehind()
+func (d *distribution) notifyStaleMembers(ctx context.Context) {
+	behind := d.staleMembers()
 	h := hint{d.revision(), d.node.settings.PeerAddress}
-	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	d.node.broadcast(ctx, func(ctx context.Context, p peer) {
 		if behind[p.vm] {
@@ -174,8 +187,9 @@
 	})
 }
 
-// membersBehind returns the VMs that are not known to have the own revision.
-func (d *distribution) membersBehind() map[string]bool {
+// staleMembers returns the VMs that do not announce at least the revision of
+// this VM.
+func (d *distribution) staleMembers() map[string]bool {
 	behind := make(map[string]bool)
 	for _, p := range d.node.peers() {
 		behind[p.vm] = true
@@ -189,18 +203,20 @@
 	return behind
 }
 
-const firstDocumentRetry = time.Second
+// firstDocumentRetryInterval is how often the first document is proposed until
+// the log has decided.
+const firstDocumentRetryInterval = time.Second
 
-// proposeFirstDocument proposes the document of the settings if the log is
-// empty. Its sections have base revision 0, so that of several VMs with
-// different documents only one succeeds.
+// proposeFirstDocument proposes the document file of the settings if the log
+// has no document. Its sections have base revision 0, so that only one proposal
+// succeeds if several VMs have different documents.
 func (d *distribution) proposeFirstDocument(ctx context.Context) {
 	edit, err := firstEdit(d.node.settings.DocumentFile)
 	if err != nil {
-		d.node.logger.Error("document of the settings refused", zap.Error(err))
+		d.node.logger.Error("failed to load the document file of the settings", zap.Error(err))
 		return
 	}
-	ticker := time.NewTicker(firstDocumentRetry)
+	ticker := time.NewTicker(firstDocumentRetryInterval)
 	defer ticker.Stop()
 	for d.revision() == 0 && !d.tryFirstDocument(ctx, edit) {
 		select {
@@ -231,7 +247,8 @@
 	return edit, nil
 }
 
-// tryFirstDocument reports whether the log has decided.
+// tryFirstDocument reports whether the log has accepted or rejected the
+// document.
 func (d *distribution) tryFirstDocument(ctx context.Context, edit *configv1.Edit) bool {
 	body, err := marshalEdit(edit)
 	if err != nil {
@@ -245,6 +262,6 @@
 	if err := proto.Unmarshal(answer, &result); err != nil {
 		return false
 	}
-	d.node.logger.Info("document of the settings proposed", zap.String("outcome", result.GetOutcome().String()))
+	d.node.logger.Info("proposed the document file of the settings", zap.String("outcome", result.GetOutcome().String()))
 	return true
 }
--- a/internal/daemon/controllog.go
+++ b/internal/daemon/controllog.go
@@ -11,14 +11,14 @@
 	raftv1 "github.com/cuminwing/cuminwing/proto/raft/v1"
 )
 
-// transferTimeout bounds how long a shutdown waits for another voter to take
-// over the control log.
+// transferTimeout limits how long a shutdown waits for another voter to take
+// over the leadership of the control log.
 const transferTimeout = time.Second
 
-// startControl opens the control log. A voter, or a VM with a disk that may
-// become one, has a replica; all others forward to the voters. Steps that add
-// parts must run before.
-func (n *Node) startControl() error {
+// startControlLog opens the control log. A voter, or a VM with a data folder,
+// which may become a voter, runs a replica; all other VMs forward to the
+// voters. Steps that register replicated parts must run before this one.
+func (n *Node) startControlLog() error {
 	if n.options.Log != nil {
 		n.log = n.options.Log(n.parts)
 		return nil
@@ -30,7 +30,7 @@
 	}
 	n.log = log
 	if n.settings.DataFolder == "" {
-		n.handleLog(nil, log)
+		n.registerLogServices(nil, log)
 		return nil
 	}
 	config := replica.Config{
@@ -41,10 +41,10 @@
 			Self:   n.settings.PeerAddress,
 			URL:    n.peerURL,
 			Client: n.peerClient,
-			Start:  n.duty,
+			Start:  n.background,
 		},
 		Clock:    n.clock,
-		OnChange: n.logReplica,
+		OnChange: n.logReplicaStatus,
 	}
 	if n.settings.Voter() {
 		config.Bootstrap = log.Voters
@@ -55,8 +55,8 @@
 	}
 	n.replica = r
 	log.Replica = r
-	n.handleLog(r, log)
-	n.duty(r.Run)
+	n.registerLogServices(r, log)
+	n.background(r.Run)
 	return nil
 }
 
@@ -67,36 +67,37 @@
 	return "http://" + address
 }
 
-// handleLog serves the log to other VMs and to operators' tools. Tools reach
-// the leader through any VM.
-func (n *Node) handleLog(r *replica.Replica, log *replica.Log) {
+// registerLogServices serves the log to other VMs and to operators' tools.
+// Operators' tools can reach the leader through any VM.
+func (n *Node) registerLogServices(r *replica.Replica, log *replica.Log) {
 	if r != nil {
 		server := replica.Server{Replica: r}
-		step := raftv1.NewRaftServiceServer(server)
-		n.peerMux.Handle(step.PathPrefix(), step)
-		calls := raftv1.NewLogServiceServer(server)
-		n.peerMux.Handle(calls.PathPrefix(), calls)
+		raftService := raftv1.NewRaftServiceServer(server)
+		n.peerMux.Handle(raftService.PathPrefix(), raftService)
+		logService := raftv1.NewLogServiceServer(server)
+		n.peerMux.Handle(logService.PathPrefix(), logService)
 	}
 	admin := raftv1.NewLogServiceServer(replica.Forwarder{Log: log, VM: n.settings.VM})
 	n.adminMux.Handle(admin.PathPrefix(), admin)
 }
 
-func (n *Node) logReplica(s replica.Status) {
+func (n *Node) logReplicaStatus(s replica.Status) {
 	if s.Failure != nil {
-		n.logger.Error("control log failed; this replica makes no promises until it is restarted", zap.Error(s.Failure))
+		n.logger.Error("control log replica failed; it does not vote or acknowledge entries until this VM restarts", zap.Error(s.Failure))
 		return
 	}
 	n.logger.Info("control log changed", zap.String("role", s.Role.String()), zap.String("leader", s.Leader), zap.Uint64("term", s.Term))
 }
 
-// leaveControl hands the leadership over before a shutdown.
-func (n *Node) leaveControl() {
+// transferLeadership hands the leadership of the control log to another voter
+// before a shutdown.
+func (n *Node) transferLeadership() {
 	if n.replica == nil || n.replica.Status().Role != raft.Leader {
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, transferTimeout)
 	defer cancel()
 	if err := n.replica.Transfer(ctx); err != nil {
-		n.logger.Info("control log leadership was not handed over", zap.Error(err))
+		n.logger.Info("failed to transfer the leadership of the control log", zap.Error(err))
 	}
 }
--- a/internal/daemon/controllog_test.go
+++ b/internal/daemon/controllog_test.go
@@ -10,8 +10,9 @@
 	raftv1 "github.com/cuminwing/cuminwing/proto/raft/v1"
 )
 
-// Guards against operators' calls on the log that do not reach the leader from
-// a VM without a replica, and against a shutdown that keeps the leadership.
+// Guards against operators' calls that do not reach the leader of the log
+// through a VM without a replica, and against a shutdown that does not transfer
+// the leadership.
 func TestControlLogAdmin(t *testing.T) {
 	c := newTestCluster(t, 4, 3)
 	c.log = nil
@@ -38,7 +39,7 @@
 	}
 	promote := &raftv1.ChangeMembersRequest{Change: raftv1.Change_CHANGE_PROMOTE, Vm: "vm-4"}
 	if r, err := admin.ChangeMembers(ctx, promote); err != nil || r.GetOutcome() != raftv1.Outcome_OUTCOME_NOT_COMMITTED {
-		t.Fatalf("promotion of a VM that is no learner: got %v, %v", r, err)
+		t.Fatalf("promotion of a VM that is not a learner: got %v, %v", r, err)
 	}
 	holder := func() int {
 		for i, n := range nodes {
@@ -54,11 +55,11 @@
 		t.Fatal(err)
 	}
 	if old.log.HoldsLease() {
-		t.Fatal("a stopped VM holds the lease")
+		t.Fatal("a stopped VM still holds the leader lease")
 	}
 	await(t, "another VM holds the lease", func() bool { return holder() >= 0 })
 	status, err := admin.GetStatus(ctx, &raftv1.GetStatusRequest{})
 	if err != nil || status.GetReplica() {
-		t.Fatalf("status of a VM without a replica: %v, %v", status, err)
+		t.Fatalf("status of a VM without a replica: got %v, %v", status, err)
 	}
 }
--- a/internal/daemon/cputime_test.go
+++ b/internal/daemon/cputime_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// processTime returns the processor time that this process has used.
+// processTime returns the CPU time that this process has used.
 func processTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -20,58 +20,62 @@
 )
 
 const (
-	// memberScanInterval is how often the revisions of the members are
-	// compared with the own one; it costs no message.
+	// memberScanInterval is how often this VM compares its revision with those
+	// that members announce. The comparison sends no messages.
 	memberScanInterval = 250 * time.Millisecond
-	// configCheckInterval is how often a VM asks another for news. It is well
-	// under the 5 s in which a configuration has to be in force.
+	// configCheckInterval is how often a VM polls another VM for changes. It is
+	// well below the 5 s within which a configuration must be active on every
+	// VM.
 	configCheckInterval = 2 * time.Second
 	configFile          = "configuration.state"
-	// anyRevision is reached by every configuration.
+	// anyRevision is satisfied by every configuration, since revisions start at
+	// 1.
 	anyRevision = 1
 )
 
-// distribution keeps the configuration in force on one VM. Voters take it from
-// the applied log, other VMs pull it.
+// distribution maintains the active configuration of one VM. Voters take it
+// from the applied log; other VMs pull it.
 type distribution struct {
 	node *Node
 	part *sections.Part
-	// lease tracks the contact with control VMs.
-	lease controlLease
+	// contact records the last contact with control VMs.
+	contact controlContact
 
 	mu    sync.Mutex
 	state atomic.Pointer[sections.State]
-	// raised is closed and replaced when the revision rises.
-	raised chan struct{}
+	// revisionChanged is closed and replaced when the revision increases.
+	revisionChanged chan struct{}
 
-	// applied, push and hints wake the duties.
-	applied chan struct{}
-	push    chan struct{}
-	hints   chan hint
+	// applied, notifyDue and hints wake the background goroutines.
+	applied   chan struct{}
+	notifyDue chan struct{}
+	hints     chan hint
 }
 
-// hint says that a VM has a higher revision.
+// hint announces that the VM at address has, or is about to have, a higher
+// revision.
 type hint struct {
 	revision uint64
 	address  string
 }
 
-// hintQueue bounds the hints that wait; a hint that finds no room is dropped,
-// because the members' revisions and the periodic check cover it.
-const hintQueue = 16
+// maxPendingHints limits the queue of hints. Hints that do not fit are dropped,
+// because the revisions of the members and the periodic check also reveal new
+// revisions.
+const maxPendingHints = 16
 
-// startConfig registers the replicated part and puts the last configuration of
-// the data folder in force.
+// startConfig registers the configuration as a replicated part and activates
+// the configuration stored in the data folder.
 func (n *Node) startConfig() error {
 	d := &distribution{
-		node:    n,
-		raised:  make(chan struct{}),
-		applied: make(chan struct{}, 1),
-		push:    make(chan struct{}, 1),
-		hints:   make(chan hint, hintQueue),
+		node:            n,
+		revisionChanged: make(chan struct{}),
+		applied:         make(chan struct{}, 1),
+		notifyDue:       make(chan struct{}, 1),
+		hints:           make(chan hint, maxPendingHints),
 	}
 	d.state.Store(sections.NewState())
-	d.part = sections.NewPart(func() { wake(d.applied) })
+	d.part = sections.NewPart(func() { signal(d.applied) })
 	n.parts[control.KindConfig] = d.part
 	n.distribution = d
 	d.loadFile()
@@ -80,37 +84,38 @@
 	return nil
 }
 
-// startDistribution starts the duties that keep the configuration current.
+// startDistribution starts the goroutines that keep the configuration current.
 func (n *Node) startDistribution() error {
 	d := n.distribution
-	n.duty(d.publishApplied)
-	n.duty(d.pushHints)
-	n.duty(d.follow)
-	n.duty(func(ctx context.Context) {
+	n.background(d.activateApplied)
+	n.background(d.notifyAsLeader)
+	n.background(d.pullNewerRevisions)
+	n.background(func(ctx context.Context) {
 		if d.revision() == 0 {
 			d.pull(ctx, hint{revision: anyRevision})
 		}
-		d.check(ctx)
-		every(ctx, configCheckInterval, func() { d.check(ctx) })
+		d.refresh(ctx)
+		every(ctx, configCheckInterval, func() { d.refresh(ctx) })
 	})
 	if n.settings.DocumentFile != "" {
-		n.duty(d.proposeFirstDocument)
+		n.background(d.proposeFirstDocument)
 	}
 	return nil
 }
 
-// wake makes a duty run once more, unless it is due already.
-func wake(c chan struct{}) {
+// signal wakes the receiver of c unless a wake-up is already pending.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// adopt puts state in force if its revision is higher than the present one. The
-// snapshot file comes first, so that a crash right afterwards does not revert
-// the configuration of a zone that restarts while it is cut off.
-func (d *distribution) adopt(state *sections.State) bool {
+// activate makes state the active configuration if its revision is higher than
+// the current one. It writes the state file first, so that a zone that restarts
+// after a crash while it is partitioned does not revert to an older
+// configuration.
+func (d *distribution) activate(state *sections.State) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if state.Revision <= d.state.Load().Revision {
@@ -120,21 +125,21 @@
 	snapshot := config.NewSnapshot(state.Document, state.Revision)
 	d.state.Store(state)
 	d.node.snapshot.Store(snapshot)
-	close(d.raised)
-	d.raised = make(chan struct{})
-	d.node.logger.Info("configuration in force", zap.Uint64("revision", state.Revision))
+	close(d.revisionChanged)
+	d.revisionChanged = make(chan struct{})
+	d.node.logger.Info("configuration activated", zap.Uint64("revision", state.Revision))
 	return true
 }
 
-// revision returns the revision in force.
+// revision returns the active revision.
 func (d *distribution) revision() uint64 { return d.state.Load().Revision }
 
-// awaitRevision returns once revision is in force or ctx ends. It returns the
-// revision in force then.
+// awaitRevision returns the active revision when it has reached the given one
+// or when ctx ends.
 func (d *distribution) awaitRevision(ctx context.Context, revision uint64) uint64 {
 	for {
 		d.mu.Lock()
-		raised := d.raised
+		changed := d.revisionChanged
 		d.mu.Unlock()
 		if current := d.revision(); current >= revision {
 			return current
@@ -142,33 +147,33 @@
 		select {
 		case <-ctx.Done():
 			return d.revision()
-		case <-raised:
+		case <-changed:
 		}
 	}
 }
 
-// publishApplied puts the applied state in force on a voter. States that
-// follow each other quickly, as in a replay after a restart, are taken once.
-func (d *distribution) publishApplied(ctx context.Context) {
+// activateApplied activates the applied state on a voter. States that are
+// applied in quick succession, as in a replay after a restart, are coalesced.
+func (d *distribution) activateApplied(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-d.applied:
 		}
-		if d.adopt(d.part.State()) {
-			wake(d.push)
+		if d.activate(d.part.State()) {
+			signal(d.notifyDue)
 		}
 	}
 }
 
-// loadFile puts the last snapshot file in force, so that a restarted VM serves
-// at once, even when no voter answers.
+// loadFile activates the configuration of the state file, so that a restarted
+// VM serves at once even if no voter answers.
 func (d *distribution) loadFile() {
 	if d.node.settings.DataFolder == "" {
 		return
 	}
-	file := d.file()
+	file := d.path()
 	data, err := statefile.Read(file)
 	if errors.Is(err, os.ErrNotExist) {
 		return
@@ -178,10 +183,10 @@
 		state, err = decodeFile(data)
 	}
 	if err != nil {
-		d.node.logger.Error("configuration file refused; starting from other VMs", zap.String("file", file), zap.Error(err))
+		d.node.logger.Error("failed to load the stored configuration; pulling it from other VMs", zap.String("file", file), zap.Error(err))
 		return
 	}
-	d.adopt(state)
+	d.activate(state)
 }
 
 func decodeFile(data []byte) (*sections.State, error) {
@@ -192,21 +197,22 @@
 	return sections.DecodeDocument(&document)
 }
 
-func (d *distribution) file() string {
+func (d *distribution) path() string {
 	return filepath.Join(d.node.settings.DataFolder, configFile)
 }
 
-// saveFile leaves the history out: a restarted VM answers pulls with the whole
-// document until it has seen new changes, and the file stays small.
+// saveFile writes the configuration without its history. This keeps the file
+// small; a restarted VM answers pulls with the whole document until it has
+// received new changes.
 func (d *distribution) saveFile(state *sections.State) {
 	if d.node.settings.DataFolder == "" {
 		return
 	}
 	data, err := proto.Marshal(state.EncodeDocument())
 	if err == nil {
-		err = statefile.Write(d.file(), data)
+		err = statefile.Write(d.path(), data)
 	}
 	if err != nil {
-		d.node.logger.Error("configuration file not written", zap.Error(err))
+		d.node.logger.Error("failed to write the configuration file", zap.Error(err))
 	}
 }
--- a/internal/daemon/distribution_pull.go
+++ b/internal/daemon/distribution_pull.go
@@ -14,28 +14,30 @@
 )
 
 const (
+	// pullTimeout limits one call and one sequence of pull rounds.
 	pullTimeout = 2 * time.Second
-	// pullStagger is the wait for one source before the next is asked too. It
-	// is above a round trip between regions, 60 ms.
+	// pullStagger is how long a pull waits for one source before it also asks
+	// the next one. It exceeds the round trip between regions, 60 ms.
 	pullStagger = 150 * time.Millisecond
-	// maxExpectedWait is how long a Pull call waits for a revision that the VM
-	// was named for: a commit and its application take some milliseconds.
+	// maxExpectedWait limits how long a Pull call waits for a revision that a
+	// hint attributes to this VM. Committing and applying an entry takes a few
+	// milliseconds.
 	maxExpectedWait = 100 * time.Millisecond
-	// pullPause separates two rounds over the sources.
-	pullPause = 50 * time.Millisecond
-	// maxPullChanges is the number of changes above which the whole document
-	// is sent instead: at about 200 bytes a change it is then the smaller
-	// answer for the deployments of today.
+	// pullRoundInterval is the pause between two rounds over the sources.
+	pullRoundInterval = 50 * time.Millisecond
+	// maxPullChanges is the number of changes above which the whole document is
+	// sent instead. At about 200 bytes per change, the document is then the
+	// smaller response in current deployments.
 	maxPullChanges = 256
-	// maxPullSources bounds the VMs that one hint makes a VM ask.
+	// maxPullSources limits how many VMs one pull round asks.
 	maxPullSources = 6
-	// maxNotifyWait bounds how long a Notify call may wait.
+	// maxNotifyWait limits how long a Notify call may wait.
 	maxNotifyWait = 5 * time.Second
 )
 
-// follow pulls when a hint or the revision of a member shows that a higher
-// revision exists.
-func (d *distribution) follow(ctx context.Context) {
+// pullNewerRevisions pulls when a hint or the announced revision of a member
+// shows that a higher revision exists.
+func (d *distribution) pullNewerRevisions(ctx context.Context) {
 	ticker := time.NewTicker(memberScanInterval)
 	defer ticker.Stop()
 	for {
@@ -52,6 +54,8 @@
 	}
 }
 
+// newestMember returns the member with the highest revision, and false if no
+// member has a higher revision than this VM.
 func (d *distribution) newestMember() (hint, bool) {
 	newest := hint{revision: d.revision()}
 	for _, m := range d.node.members() {
@@ -62,27 +66,28 @@
 	return newest, newest.address != ""
 }
 
-// pull asks other VMs until the revision of the hint is in force or the time
-// is over. A hint may come before the VM that it names has the revision.
+// pull asks other VMs until the revision of the hint is active or pullTimeout
+// expires. A hint may arrive before the VM that it names has the revision.
 func (d *distribution) pull(ctx context.Context, h hint) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	for ctx.Err() == nil && d.revision() < h.revision {
 		d.pullRound(ctx, h)
-		pause, stop := context.WithTimeout(ctx, pullPause)
+		pause, stop := context.WithTimeout(ctx, pullRoundInterval)
 		d.awaitRevision(pause, h.revision)
 		stop()
 	}
 }
 
-// pullRound asks zone peers, then the VM that the hint names, then others. It
-// does not wait for a source that stays silent: the next one is asked after
-// pullStagger, or at once when the former has answered.
+// pullRound asks zone peers first, then the VM named in the hint, then other
+// VMs. It asks the next source as soon as the previous one has answered, or
+// after pullStagger if it has not.
 func (d *distribution) pullRound(ctx context.Context, h hint) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	ctx, cancel := context.WithCancel(ctx)
-	// Runs before Wait, so that silent sources do not delay the return.
+	// Deferred after calls.Wait, so it runs first: sources that do not answer do
+	// not delay the return.
 	defer cancel()
 	answered := make(chan struct{}, maxPullSources)
 	for _, address := range d.pullSources(h.address) {
@@ -106,8 +111,8 @@
 	}
 }
 
-// pullSources lists up to maxPullSources peer addresses: two zone peers, the
-// hinted VM, then others at random.
+// pullSources returns up to maxPullSources peer addresses: two zone peers, the
+// VM named in the hint, then others in random order.
 func (d *distribution) pullSources(hinted string) []string {
 	const zonePeers = 2
 	var zone, others []string
@@ -134,8 +139,8 @@
 	rand.Shuffle(len(s), func(i, j int) { s[i], s[j] = s[j], s[i] })
 }
 
-// pullFrom brings this VM to the revision of another. When a change does not
-// follow the present state, it asks once more for the whole document.
+// pullFrom brings this VM to the revision of another VM. If a change does not
+// follow the current state, it requests the whole document instead.
 func (d *distribution) pullFrom(ctx context.Context, address string, request *configv1.PullRequest) (*configv1.PullResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -145,8 +150,8 @@
 		return nil, err
 	}
 	if d.revision() == 0 && answer.GetKeyDigest() != d.node.withdrawn.Digest() {
-		// A key that the configuration lists may be withdrawn; a VM without a
-		// disk must know that before it serves.
+		// The configuration may list withdrawn keys. A VM without a disk must
+		// know the withdrawals before it serves.
 		if err := d.node.withdrawals.sync(ctx, peer{address: address}); err != nil {
 			return nil, err
 		}
@@ -165,13 +170,13 @@
 		if err != nil {
 			return err
 		}
-		d.adopt(state)
+		d.activate(state)
 		return nil
 	}
 	state := d.state.Load()
 	for _, change := range answer.GetChanges() {
 		if change.GetRevision() <= state.Revision {
-			// Another pull brought this change in the meantime.
+			// A concurrent pull has already applied this change.
 			continue
 		}
 		next, err := state.Apply(change)
@@ -180,7 +185,7 @@
 		}
 		state = next
 	}
-	d.adopt(state)
+	d.activate(state)
 	return nil
 }
 
@@ -199,7 +204,7 @@
 		Revision:  state.Revision,
 		KeyDigest: s.d.node.withdrawn.Digest(),
 	}
-	if age, ok := s.d.lease.age(s.d.node.clock()); ok {
+	if age, ok := s.d.contact.age(s.d.node.clock()); ok {
 		answer.HadControlContact = true
 		answer.ControlContactAgeMs = uint64(age.Milliseconds())
 	}
--- a/internal/daemon/e2e_test.go
+++ b/internal/daemon/e2e_test.go
@@ -10,13 +10,14 @@
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
-// Guards against streams that a usual client library takes for broken or
-// incomplete, through three VMs in two zones, while engines crash and return.
+// Guards against streams that a common client library reads as broken or
+// incomplete, through three VMs in two zones, while an engine crashes and
+// returns.
 func TestClientLibraryStreamsThroughCrash(t *testing.T) {
 	vms := startVMs(t, testDocument(), "muc-a", "muc-b", "muc-a")
 	engines := []*standin.Engine{startEngine(t, "e1", false, vms...), startEngine(t, "e2", true, vms...), startEngine(t, "e3", false, vms...)}
-	// The answer of a stand-in depends on the bytes of the prompt, so that
-	// only the same client gives the same answer.
+	// The answer of a stand-in engine depends on the bytes of the prompt, so
+	// that only requests of the same client library get the same answer.
 	want, _ := clientStream(t, vms[0], func(int) {})
 	const streamsPerVM = 4
 	var wg sync.WaitGroup
@@ -30,7 +31,7 @@
 					}
 				})
 				if got != want || usage != 300 {
-					t.Errorf("got %d bytes of %d, usage %d", len(got), len(want), usage)
+					t.Errorf("got %d bytes, want %d; usage %d, want 300", len(got), len(want), usage)
 				}
 			})
 		}
@@ -47,7 +48,8 @@
 	})
 }
 
-// clientStream streams one answer with the client library.
+// clientStream streams one answer with the client library and calls each for
+// every chunk.
 func clientStream(t *testing.T, vm *testVM, each func(n int)) (text string, usage int64) {
 	client := openai.NewClient(option.WithBaseURL(vm.base+"/v1"), option.WithAPIKey(testKey), option.WithMaxRetries(0))
 	stream := client.Chat.Completions.NewStreaming(t.Context(), openai.ChatCompletionNewParams{
--- a/internal/daemon/examples_test.go
+++ b/internal/daemon/examples_test.go
@@ -15,13 +15,13 @@
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
-// loadExample returns the settings of an example deployment on free addresses
-// and with data folders of the test.
+// loadExample returns the settings of an example deployment, with free
+// addresses and temporary data folders.
 func loadExample(t testing.TB, name string) []settings.Settings {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", name, "*.json"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no settings files of %s: %v", name, err)
+		t.Fatalf("no settings files of example %s: %v", name, err)
 	}
 	free := make(map[string]string)
 	move := func(address *string) {
@@ -81,7 +81,8 @@
 	return nodes[0].distribution.revision()
 }
 
-// Guards the example deployments: their settings must fit their document.
+// Guards against example deployments whose settings do not match their
+// document.
 func TestExampleSettingsFitDocument(t *testing.T) {
 	for _, name := range []string{"verband", "zielnik"} {
 		document, err := config.LoadFile(filepath.Join("..", "..", "examples", name+".json"))
@@ -93,7 +94,7 @@
 			zone := document.Zones[s.Zone]
 			slot := fmt.Sprint(s.Zone, "/", s.Slot)
 			if zone.Region != s.Region || s.Slot >= zone.VMSlots || slots[slot] {
-				t.Errorf("%s: VM %s does not fit the zones of the document", name, s.VM)
+				t.Errorf("%s: zone, region or slot of VM %s do not match the document", name, s.VM)
 			}
 			slots[slot] = true
 			if len(s.Voters) != 3 {
@@ -106,27 +107,27 @@
 	}
 }
 
-// Guards the whole way of a configuration: nine VMs with a real control log
-// start with empty data folders, VMs without a disk get the document from
-// peers, and an edit made at any VM is in force on all.
+// Guards the complete path of a configuration: nine VMs with a real control log
+// start with empty data folders, VMs without a disk pull the document from
+// peers, and an edit submitted to any VM becomes active on all of them.
 func TestExampleDeploymentTakesEdits(t *testing.T) {
 	nodes := startExample(t, "verband")
 	awaitExample(t, nodes)
 	for i, n := range []*Node{nodes[8], nodes[0]} {
 		section := n.distribution.state.Load().Sections[config.SectionRates]
 		response := applyEdit(t, n, exampleEdit(fmt.Sprint("e", i), section.Revision, 1000+i))
-		wantAccepted(t, response)
+		requireAccepted(t, response)
 		for _, z := range response.GetZones() {
 			if !z.GetComplete() || z.GetKnown() != 3 {
 				t.Errorf("zone %s: %d of %d VMs have the edit", z.GetZone(), z.GetConfirmed(), z.GetKnown())
 			}
 		}
 	}
-	history, err := adminOf(nodes[8]).History(context.Background(), &adminv1.HistoryRequest{})
+	history, err := adminClientOf(nodes[8]).History(context.Background(), &adminv1.HistoryRequest{})
 	if err != nil || len(history.GetChanges()) != 3 || history.GetChanges()[2].GetEdit().GetOperator() != "settings" {
-		t.Errorf("the VM without a disk shows the history %v, %v", history.GetChanges(), err)
+		t.Errorf("history of the VM without a disk: got %v, %v", history.GetChanges(), err)
 	}
-	status, err := adminOf(nodes[4]).Status(context.Background(), &adminv1.StatusRequest{})
+	status, err := adminClientOf(nodes[4]).Status(context.Background(), &adminv1.StatusRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +137,7 @@
 		}
 	}
 	if len(status.GetVms()) != 9 || status.GetLeader() == "" {
-		t.Errorf("status shows %d VMs and leader %q", len(status.GetVms()), status.GetLeader())
+		t.Errorf("status shows %d VMs and leader %q, want 9 and a leader", len(status.GetVms()), status.GetLeader())
 	}
 }
 
@@ -145,15 +146,15 @@
 	return &configv1.Edit{Id: id, Sections: []*configv1.SectionEdit{{Section: "rates", BaseRevision: base, Patch: []byte(patch)}}}
 }
 
-// Guards against a drain that some VMs do not hear of, and against a return to
-// service that an earlier drain undoes.
+// Guards against a drain that does not reach all VMs, and against a resume that
+// is reverted by an earlier drain.
 func TestDrainReachesAllVMs(t *testing.T) {
 	nodes := startExample(t, "verband")
 	awaitExample(t, nodes)
 	a := target.Announcement{ID: "engine-1", Incarnation: 1, Sequence: 1, Kind: target.KindEngine, Zone: nodes[8].settings.Zone, URL: "http://127.0.0.1:1"}
 	nodes[8].acceptAnnouncement(a)
 	for _, resume := range []bool{false, true, false} {
-		r, err := adminOf(nodes[8]).DrainTarget(context.Background(), &adminv1.DrainTargetRequest{Id: a.ID, Resume: resume})
+		r, err := adminClientOf(nodes[8]).DrainTarget(context.Background(), &adminv1.DrainTargetRequest{Id: a.ID, Resume: resume})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,15 +164,16 @@
 			}
 		}
 		for _, n := range nodes {
-			if !(adminServer{n}).drainIs(a.ID, !resume) {
-				t.Errorf("resume %v: VM %s has another decision", resume, n.settings.VM)
+			if !(adminServer{n}).hasDrainDecision(a.ID, !resume) {
+				t.Errorf("resume %v: VM %s has a different drain decision", resume, n.settings.VM)
 			}
 		}
 	}
 }
 
-// Guards against an edit being executed again after the leader that committed
-// it is gone, and against a service that takes no edits then.
+// Guards against an edit that is applied again when it is resent after its
+// leader has failed, and against a cluster that accepts no edits after that
+// failure.
 func TestResendAfterLossOfLeader(t *testing.T) {
 	nodes := startExample(t, "zielnik")
 	base := awaitExample(t, nodes)
@@ -181,7 +183,7 @@
 	}
 	edit := rateEdit("kept", base, 4242)
 	edit.Sections[0].Patch = []byte(`{"muzeum":{"rate_tokens_per_second":4242}}`)
-	revision := wantAccepted(t, applyEdit(t, asked, edit))
+	revision := requireAccepted(t, applyEdit(t, asked, edit))
 	var lostZone string
 	for _, n := range nodes {
 		if n.log.HoldsLease() {
@@ -193,24 +195,24 @@
 	var again *adminv1.ApplyConfigResponse
 	await(t, "answer from the new leader", func() bool {
 		var err error
-		again, err = adminOf(asked).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit})
+		again, err = adminClientOf(asked).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit})
 		return err == nil
 	})
-	if got := wantAccepted(t, again); got != revision {
-		t.Fatalf("the resend was executed at revision %d, want the stored answer %d", got, revision)
+	if got := requireAccepted(t, again); got != revision {
+		t.Fatalf("the resent edit has revision %d, want the stored revision %d", got, revision)
 	}
 	edit.Id, edit.Sections[0].BaseRevision = "next", revision
 	response := applyEdit(t, asked, edit)
-	wantAccepted(t, response)
+	requireAccepted(t, response)
 	for _, z := range response.GetZones() {
 		if lost := z.GetZone() == lostZone; z.GetKnown() != 3 || z.GetComplete() == lost {
-			t.Errorf("zone %s: %d of %d VMs, lost leader in %s", z.GetZone(), z.GetConfirmed(), z.GetKnown(), lostZone)
+			t.Errorf("zone %s: %d of %d VMs, the failed leader was in %s", z.GetZone(), z.GetConfirmed(), z.GetKnown(), lostZone)
 		}
 	}
 }
 
-// BenchmarkCommitToInForce measures the time from the proposal of an edit at a
-// VM without a disk until all nine VMs have it in force.
+// BenchmarkCommitToInForce measures the time from submitting an edit to a VM
+// without a disk until the edit is active on all nine VMs.
 func BenchmarkCommitToInForce(b *testing.B) {
 	nodes := startExample(b, "verband")
 	base := awaitExample(b, nodes)
@@ -219,10 +221,10 @@
 		start := time.Now()
 		response := applyEdit(b, nodes[8], exampleEdit(fmt.Sprint("bench", i), base, 1000+i))
 		times = append(times, time.Since(start))
-		base = wantAccepted(b, response)
+		base = requireAccepted(b, response)
 		for _, z := range response.GetZones() {
 			if !z.GetComplete() {
-				b.Fatalf("zone %s is not reached", z.GetZone())
+				b.Fatalf("the edit is not active in all of zone %s", z.GetZone())
 			}
 		}
 	}
@@ -232,7 +234,8 @@
 }
 
 // BenchmarkWithdrawalConfirmed measures the time from a withdrawal at a VM
-// without a disk until all nine VMs refuse the key and the log has committed it.
+// without a disk until all nine VMs reject the key and the log has committed
+// the withdrawal.
 func BenchmarkWithdrawalConfirmed(b *testing.B) {
 	nodes := startExample(b, "verband")
 	awaitExample(b, nodes)
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -23,8 +23,9 @@
 	testModel = "gutachter"
 )
 
-// patience bounds waits that succeed long before on a machine of any speed.
-const patience = 20 * time.Second
+// awaitTimeout limits waits for conditions. It is far longer than they take, so
+// that slow machines pass too.
+const awaitTimeout = 20 * time.Second
 
 func testDocument() config.Document {
 	return config.Document{
@@ -41,7 +42,7 @@
 	}
 }
 
-// testVM is a VM with its address for callers.
+// testVM is a VM with the base URL for its callers.
 type testVM struct {
 	*Node
 	base string
@@ -52,8 +53,8 @@
 	return startVMs(t, document, zone)[0]
 }
 
-// startVMs starts one VM in each zone; all are voters. Another process may take
-// a free port before the VM binds it, so that a failed start is tried again.
+// startVMs starts one VM per zone; all of them are voters. Another process may
+// take a free port before the VM binds it, so a failed start is retried.
 func startVMs(t testing.TB, document config.Document, zones ...string) []*testVM {
 	t.Helper()
 	const tries = 5
@@ -128,16 +129,17 @@
 	})
 }
 
+// await polls ok until it returns true and fails the test after awaitTimeout.
 func await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no %s after %s", what, patience)
+			t.Fatalf("timed out waiting for %q after %s", what, awaitTimeout)
 		}
 	}
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
@@ -147,7 +149,9 @@
 	body   string
 }
 
-func (a answer) whole() bool { return a.status == http.StatusOK && a.done == 1 && a.failed == "" }
+// complete reports whether the stream succeeded and ended with exactly one
+// [DONE].
+func (a answer) complete() bool { return a.status == http.StatusOK && a.done == 1 && a.failed == "" }
 
 func chatBody(prompt string, tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, testModel, stream, tokens, prompt)
@@ -167,7 +171,8 @@
 	return http.DefaultClient.Do(req)
 }
 
-// ask streams one answer. Each is called per event and may be nil.
+// ask streams one chat completion. It calls each, which may be nil, for every
+// event.
 func ask(t testing.TB, vm *testVM, prompt string, tokens int, each func(n int)) answer {
 	t.Helper()
 	resp, err := send(t.Context(), http.MethodPost, vm.base+"/v1/chat/completions", testKey, chatBody(prompt, tokens, true))
@@ -192,7 +197,7 @@
 			a.body += scanner.Text()
 			continue
 		}
-		a.event(data)
+		a.addEvent(data)
 		if n++; each != nil {
 			each(n)
 		}
@@ -200,7 +205,7 @@
 	return a
 }
 
-func (a *answer) event(data []byte) {
+func (a *answer) addEvent(data []byte) {
 	if string(data) == "[DONE]" {
 		a.done++
 		return
--- a/internal/daemon/indexrpc.go
+++ b/internal/daemon/indexrpc.go
@@ -14,44 +14,48 @@
 )
 
 const (
-	// lookupTimeout bounds the wait for the owner of a chain. A round trip
-	// inside the region takes 1 ms; a block that is computed again costs 50.
+	// lookupTimeout limits the wait for the owner of a chain. A round trip
+	// within the region takes 1 ms; recomputing a block takes 50 ms.
 	lookupTimeout = 5 * time.Millisecond
-	// coalesceWait is how long a lookup waits for the choice of another VM; it
-	// leaves time for the round trip within lookupTimeout.
+	// coalesceWait limits how long a lookup waits until another request for the
+	// same prefix has been placed. It leaves time for the round trip within
+	// lookupTimeout.
 	coalesceWait = 3 * time.Millisecond
-	// peerPause is how long an owner that did not answer is not asked.
-	peerPause = 500 * time.Millisecond
-	// publishTimeout bounds a publication; a lost one leads to a resync.
+	// peerRetryDelay is how long lookups skip an owner that did not answer.
+	peerRetryDelay = 500 * time.Millisecond
+	// publishTimeout limits one publication of cache events. A failed
+	// publication causes a resync.
 	publishTimeout = time.Second
-	// newsTimeout bounds a publication of dispatches and loads, which are of
-	// no use later.
-	newsTimeout = 200 * time.Millisecond
-	// maxNewsBatch bounds one publication of them.
-	maxNewsBatch = 64
+	// updateTimeout limits one publication of dispatches and load reports, which
+	// are useless when they arrive late.
+	updateTimeout = 200 * time.Millisecond
+	// maxUpdateBatch limits the updates in one publication.
+	maxUpdateBatch = 64
 )
 
-// indexPeer is another VM that owns chains.
+// indexPeer is another VM that shares the prefix index.
 type indexPeer struct {
 	incarnation uint64
 	address     string
 	client      indexv1.IndexService
-	// silent is when the peer may be asked again, in nanoseconds since 1970.
-	silent atomic.Int64
-	zone   string
-	// waiting is what has to be sent.
-	waiting *ring.Ring[news]
+	// retryAt is when lookups may ask the peer again after a failure, in
+	// nanoseconds since the Unix epoch.
+	retryAt atomic.Int64
+	zone    string
+	// pending queues the updates to be sent to the peer.
+	pending *ring.Ring[indexUpdate]
 	cancel  context.CancelFunc
 }
 
-// news is a dispatch or a load report.
-type news struct {
+// indexUpdate is a dispatch or a load report for a peer.
+type indexUpdate struct {
 	dispatch *indexv1.Dispatch
 	load     *indexv1.LoadReport
 }
 
-// peer keeps the former connection state of an unchanged member.
-func (r *routingDuty) peer(ctx context.Context, old *indexPeers, m membership.Member) *indexPeer {
+// indexPeerFor returns the client for a member. An unchanged member keeps its
+// connection and its queue.
+func (r *regionIndex) indexPeerFor(ctx context.Context, old *indexPeers, m membership.Member) *indexPeer {
 	if p, ok := old.clients[m.VM]; ok && p.incarnation == m.Incarnation && p.address == m.PeerAddress {
 		return p
 	}
@@ -61,36 +65,36 @@
 		address:     m.PeerAddress,
 		client:      indexv1.NewIndexServiceProtobufClient(r.node.peerURL(m.PeerAddress), r.node.peerClient),
 		zone:        m.Zone,
-		waiting:     ring.New[news](maxWaitingNews),
+		pending:     ring.New[indexUpdate](maxPendingUpdates),
 		cancel:      cancel,
 	}
-	r.done.Go(func() { p.sendNews(ctx) })
+	r.tasks.Go(func() { p.sendUpdates(ctx) })
 	return p
 }
 
-// sendNews sends what is waiting in one message.
-func (p *indexPeer) sendNews(ctx context.Context) {
+// sendUpdates sends pending updates in batches until ctx ends.
+func (p *indexPeer) sendUpdates(ctx context.Context) {
 	for {
-		first, ok := p.waiting.Pop(ctx)
+		first, ok := p.pending.Pop(ctx)
 		if !ok {
 			return
 		}
 		req := &indexv1.PublishRequest{}
 		first.addTo(req)
-		for range maxNewsBatch - 1 {
-			more, ok := p.waiting.TryPop()
+		for range maxUpdateBatch - 1 {
+			more, ok := p.pending.TryPop()
 			if !ok {
 				break
 			}
 			more.addTo(req)
 		}
-		sendCtx, cancel := context.WithTimeout(ctx, newsTimeout)
+		sendCtx, cancel := context.WithTimeout(ctx, updateTimeout)
 		_, _ = p.client.Publish(sendCtx, req)
 		cancel()
 	}
 }
 
-func (n news) addTo(req *indexv1.PublishRequest) {
+func (n indexUpdate) addTo(req *indexv1.PublishRequest) {
 	if n.dispatch != nil {
 		req.Dispatches = append(req.Dispatches, n.dispatch)
 	}
@@ -99,8 +103,8 @@
 	}
 }
 
-// Lookup implements routing.Lookup.
-func (r *routingDuty) Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
+// Lookup implements routing.Lookup. It asks the owner of the chain.
+func (r *regionIndex) Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
 	peers := r.peers.Load()
 	owner := peers.owners.Owner(chain[0])
 	peer, ok := peers.clients[owner]
@@ -109,26 +113,27 @@
 		r.coalesce(ctx, chain)
 		return nil, false
 	}
-	if !ok || now.UnixNano() < peer.silent.Load() {
+	if !ok || now.UnixNano() < peer.retryAt.Load() {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.lookupTimeout)
 	defer cancel()
-	answer, err := peer.client.Lookup(ctx, &indexv1.LookupRequest{Blocks: toNumbers(chain)})
+	answer, err := peer.client.Lookup(ctx, &indexv1.LookupRequest{Blocks: encodeHashes(chain)})
 	if err != nil {
-		peer.silent.Store(now.Add(peerPause).UnixNano())
+		peer.retryAt.Store(now.Add(peerRetryDelay).UnixNano())
 		return nil, false
 	}
 	holdings := make([]prefix.Holding, 0, len(answer.Holdings))
 	for _, h := range answer.Holdings {
-		holdings = append(holdings, prefix.Holding{Ref: fromTarget(h.Target), Blocks: int(h.Blocks)})
+		holdings = append(holdings, prefix.Holding{Ref: decodeRef(h.Target), Blocks: int(h.Blocks)})
 	}
 	return holdings, true
 }
 
-// coalesce waits while another request for the same cold prefix is placed.
-func (r *routingDuty) coalesce(ctx context.Context, chain []prefix.Hash) {
-	placed := r.intents.Begin(chain, r.index.Longest(chain), r.node.clock())
+// coalesce waits while another request for the same uncached prefix is being
+// placed.
+func (r *regionIndex) coalesce(ctx context.Context, chain []prefix.Hash) {
+	placed := r.intents.Begin(chain, r.local.Longest(chain), r.node.clock())
 	if placed == nil {
 		return
 	}
@@ -141,30 +146,31 @@
 	}
 }
 
-// publish sends each batch to its owner. It reports false if one of them has
-// to get the whole content.
-func (r *routingDuty) publish(ctx context.Context, batches map[string]prefix.Batch) bool {
-	var wait sync.WaitGroup
-	var lost atomic.Bool
+// publish sends each batch to the owner of its chains. It returns false if an
+// owner needs the complete cache contents.
+func (r *regionIndex) publish(ctx context.Context, batches map[string]prefix.Batch) bool {
+	var calls sync.WaitGroup
+	var resync atomic.Bool
 	for owner, b := range batches {
 		if owner == r.node.settings.VM {
-			if r.index.Apply(b) {
-				lost.Store(true)
+			if r.local.Apply(b) {
+				resync.Store(true)
 			}
 			continue
 		}
-		// A dead owner must not hold up the others.
-		wait.Go(func() {
-			if !r.publishTo(ctx, owner, &indexv1.PublishRequest{Batches: []*indexv1.Batch{fromBatch(b)}}) {
-				lost.Store(true)
+		// Owners are called in parallel, so that an unreachable one does not
+		// delay the others.
+		calls.Go(func() {
+			if !r.publishTo(ctx, owner, &indexv1.PublishRequest{Batches: []*indexv1.Batch{encodeBatch(b)}}) {
+				resync.Store(true)
 			}
 		})
 	}
-	wait.Wait()
-	return !lost.Load()
+	calls.Wait()
+	return !resync.Load()
 }
 
-func (r *routingDuty) publishTo(ctx context.Context, owner string, req *indexv1.PublishRequest) bool {
+func (r *regionIndex) publishTo(ctx context.Context, owner string, req *indexv1.PublishRequest) bool {
 	peer, ok := r.peers.Load().clients[owner]
 	if !ok {
 		return false
@@ -175,72 +181,75 @@
 	return err == nil && len(answer.Resync) == 0
 }
 
-// indexServer implements the index service for one VM.
-type indexServer struct{ duty *routingDuty }
+// indexServer implements indexv1.IndexService for one VM.
+type indexServer struct{ index *regionIndex }
 
 // Publish implements indexv1.IndexService.
 func (s indexServer) Publish(_ context.Context, req *indexv1.PublishRequest) (*indexv1.PublishResponse, error) {
 	answer := &indexv1.PublishResponse{}
 	for _, b := range req.Batches {
-		if s.duty.index.Apply(toBatch(b)) {
+		if s.index.local.Apply(decodeBatch(b)) {
 			answer.Resync = append(answer.Resync, b.Target.GetId())
 		}
 	}
 	for _, d := range req.Dispatches {
-		s.takeDispatch(d)
+		s.applyDispatch(d)
 	}
-	s.takeLoads(req.Loads)
+	s.applyLoads(req.Loads)
 	return answer, nil
 }
 
-func (s indexServer) takeDispatch(d *indexv1.Dispatch) {
-	ref := fromTarget(d.Target)
+// applyDispatch adds the dispatch of another VM to the load estimate and, for
+// chains that this VM owns, to the predictions of the index.
+func (s indexServer) applyDispatch(d *indexv1.Dispatch) {
+	ref := decodeRef(d.Target)
 	if !d.Failed {
-		s.duty.picker.Elsewhere(ref, time.Duration(d.WorkUs)*time.Microsecond)
+		s.index.picker.Elsewhere(ref, time.Duration(d.WorkUs)*time.Microsecond)
 	}
 	if len(d.Blocks) == 0 || len(d.Blocks) > prefix.MaxBlocks {
 		return
 	}
-	chain := toHashes(d.Blocks)
+	chain := decodeHashes(d.Blocks)
 	if d.Failed {
-		s.duty.index.RetractPredicted(ref, chain)
+		s.index.local.RetractPredicted(ref, chain)
 		return
 	}
-	s.duty.index.Predict(ref, chain, int(d.Held))
-	s.duty.intents.Placed(chain)
+	s.index.local.Predict(ref, chain, int(d.Held))
+	s.index.intents.Placed(chain)
 }
 
-func (s indexServer) takeLoads(loads []*indexv1.LoadReport) {
-	snap := s.duty.node.Snapshot()
+// applyLoads passes load reports from other zones to the picker.
+func (s indexServer) applyLoads(loads []*indexv1.LoadReport) {
+	snap := s.index.node.Snapshot()
 	if snap == nil {
 		return
 	}
 	for _, l := range loads {
 		load := target.Load{Running: int(l.Running), Waiting: int(l.Waiting), QueuedPrefillTokens: int(l.QueuedPrefillTokens)}
-		s.duty.picker.Report(fromTarget(l.Target), load, snap)
+		s.index.picker.Report(decodeRef(l.Target), load, snap)
 	}
 }
 
 // Lookup implements indexv1.IndexService.
 func (s indexServer) Lookup(ctx context.Context, req *indexv1.LookupRequest) (*indexv1.LookupResponse, error) {
 	answer := &indexv1.LookupResponse{}
-	chain := toHashes(req.Blocks)
-	s.duty.coalesce(ctx, chain)
-	for _, h := range s.duty.index.Lookup(nil, chain) {
-		answer.Holdings = append(answer.Holdings, &indexv1.Holding{Target: toTarget(h.Ref), Blocks: uint32(h.Blocks)})
+	chain := decodeHashes(req.Blocks)
+	s.index.coalesce(ctx, chain)
+	for _, h := range s.index.local.Lookup(nil, chain) {
+		answer.Holdings = append(answer.Holdings, &indexv1.Holding{Target: encodeRef(h.Ref), Blocks: uint32(h.Blocks)})
 	}
 	return answer, nil
 }
 
-func toTarget(ref target.Ref) *indexv1.Target {
+func encodeRef(ref target.Ref) *indexv1.Target {
 	return &indexv1.Target{Id: ref.ID, Incarnation: ref.Incarnation}
 }
 
-func fromTarget(t *indexv1.Target) target.Ref {
+func decodeRef(t *indexv1.Target) target.Ref {
 	return target.Ref{ID: t.GetId(), Incarnation: t.GetIncarnation()}
 }
 
-func toNumbers(chain []prefix.Hash) []uint64 {
+func encodeHashes(chain []prefix.Hash) []uint64 {
 	out := make([]uint64, len(chain))
 	for i, h := range chain {
 		out[i] = uint64(h)
@@ -248,7 +257,7 @@
 	return out
 }
 
-func toHashes(numbers []uint64) []prefix.Hash {
+func decodeHashes(numbers []uint64) []prefix.Hash {
 	out := make([]prefix.Hash, len(numbers))
 	for i, n := range numbers {
 		out[i] = prefix.Hash(n)
@@ -256,26 +265,26 @@
 	return out
 }
 
-func fromBatch(b prefix.Batch) *indexv1.Batch {
-	out := &indexv1.Batch{Target: toTarget(b.Ref), Stream: b.Stream, Reset_: b.Reset, Through: b.Through}
+func encodeBatch(b prefix.Batch) *indexv1.Batch {
+	out := &indexv1.Batch{Target: encodeRef(b.Ref), Stream: b.Stream, Reset_: b.Reset, Through: b.Through}
 	for _, e := range b.Events {
 		kind := indexv1.EventKind_EVENT_KIND_STORED
 		if e.Kind == prefix.Evicted {
 			kind = indexv1.EventKind_EVENT_KIND_EVICTED
 		}
-		out.Events = append(out.Events, &indexv1.Event{Sequence: e.Sequence, Kind: kind, Blocks: toNumbers(e.Blocks), AgeMs: e.AgeMS})
+		out.Events = append(out.Events, &indexv1.Event{Sequence: e.Sequence, Kind: kind, Blocks: encodeHashes(e.Blocks), AgeMs: e.AgeMS})
 	}
 	return out
 }
 
-func toBatch(b *indexv1.Batch) prefix.Batch {
-	out := prefix.Batch{Ref: fromTarget(b.Target), Stream: b.Stream, Reset: b.Reset_, Through: b.Through}
+func decodeBatch(b *indexv1.Batch) prefix.Batch {
+	out := prefix.Batch{Ref: decodeRef(b.Target), Stream: b.Stream, Reset: b.Reset_, Through: b.Through}
 	for _, e := range b.Events {
 		kind := prefix.Stored
 		if e.Kind == indexv1.EventKind_EVENT_KIND_EVICTED {
 			kind = prefix.Evicted
 		}
-		out.Events = append(out.Events, prefix.Event{Sequence: e.Sequence, Kind: kind, Blocks: toHashes(e.Blocks), AgeMS: e.AgeMs})
+		out.Events = append(out.Events, prefix.Event{Sequence: e.Sequence, Kind: kind, Blocks: decodeHashes(e.Blocks), AgeMS: e.AgeMs})
 	}
 	return out
 }
--- a/internal/daemon/keylease.go
+++ b/internal/daemon/keylease.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// zoneDelegates is how many VMs of a zone ask the control VMs; the others
-	// ask these, so that the load on voters does not grow with the fleet.
-	zoneDelegates = 2
-	// maxVoterAttempts bounds the voters that one check asks.
+	// delegatesPerZone is how many VMs of a zone poll the control VMs. The other
+	// VMs poll the delegates, so that the load on voters does not grow with the
+	// number of VMs.
+	delegatesPerZone = 2
+	// maxVoterAttempts limits the voters that one refresh asks.
 	maxVoterAttempts = 2
-	// freshContact is the age above which a zone peer's contact does not
-	// spare the own question to a voter.
-	freshContact   = 2 * configCheckInterval
+	// maxContactAge is the age above which the contact of another VM is too old
+	// to rely on, so that a refresh goes on to the next source.
+	maxContactAge  = 2 * configCheckInterval
 	barrierTimeout = time.Second
 )
 
-// controlLease remembers the last contact with a control VM that had a quorum,
-// directly or through a zone peer.
-type controlLease struct {
+// controlContact records the last contact, direct or through a zone peer, with
+// a control VM that had a quorum.
+type controlContact struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
-func (l *controlLease) confirm(at time.Time) {
+func (l *controlContact) record(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.After(l.last) {
@@ -38,8 +39,8 @@
 	}
 }
 
-// age returns the time since the contact; false if there was none.
-func (l *controlLease) age(now time.Time) (time.Duration, bool) {
+// age returns the time since the last contact; ok is false if there was none.
+func (l *controlContact) age(now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.last.IsZero() {
@@ -48,19 +49,20 @@
 	return max(0, now.Sub(l.last)), true
 }
 
-// check asks for news and renews the contact with the control VMs.
-func (d *distribution) check(ctx context.Context) {
+// refresh fetches changes and renews the contact with the control VMs.
+func (d *distribution) refresh(ctx context.Context) {
 	if d.node.followsLog() {
-		d.checkQuorum(ctx)
+		d.refreshFromQuorum(ctx)
 		return
 	}
-	if !d.delegate() && d.checkZone(ctx) {
+	if !d.isDelegate() && d.refreshFromZone(ctx) {
 		return
 	}
-	d.checkVoters(ctx)
+	d.refreshFromVoters(ctx)
 }
 
-// followsLog reports whether the replicated parts of this VM follow the log.
+// followsLog reports whether the replicated parts of this VM are updated from
+// the log.
 func (n *Node) followsLog() bool {
 	if n.replica == nil {
 		return n.settings.Voter()
@@ -70,9 +72,10 @@
 	return member && status.Failure == nil
 }
 
-// checkQuorum renews the contact of a voter. A voter without a quorum is no
-// control VM: withdrawals may be committed that it does not know of.
-func (d *distribution) checkQuorum(ctx context.Context) {
+// refreshFromQuorum renews the contact of a voter by a read barrier. A voter
+// without a quorum does not count as a control VM, because withdrawals may be
+// committed without its knowledge.
+func (d *distribution) refreshFromQuorum(ctx context.Context) {
 	if d.node.log == nil {
 		return
 	}
@@ -80,19 +83,20 @@
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
 	if _, err := d.node.log.Barrier(ctx); err == nil {
-		d.lease.confirm(asked)
+		d.contact.record(asked)
 	}
 }
 
-// delegate reports whether this VM is one of the lowest names of its zone.
-func (d *distribution) delegate() bool {
+// isDelegate reports whether this VM is among the delegates of its zone, the
+// VMs with the lowest names.
+func (d *distribution) isDelegate() bool {
 	lower := 0
 	for _, p := range d.zonePeers() {
 		if p.vm < d.node.settings.VM {
 			lower++
 		}
 	}
-	return lower < zoneDelegates
+	return lower < delegatesPerZone
 }
 
 // zonePeers returns the other VMs of the zone, sorted by name.
@@ -107,28 +111,29 @@
 	return out
 }
 
-// checkZone asks the delegates of the zone. It reports whether one of them had
-// contact with a control VM lately.
-func (d *distribution) checkZone(ctx context.Context) bool {
+// refreshFromZone polls the delegates of the zone. It reports whether one of
+// them had recent contact with a control VM.
+func (d *distribution) refreshFromZone(ctx context.Context) bool {
 	peers := d.zonePeers()
-	for _, p := range peers[:min(len(peers), zoneDelegates)] {
-		if age, ok := d.checkPeer(ctx, p); ok && age < freshContact {
+	for _, p := range peers[:min(len(peers), delegatesPerZone)] {
+		if age, ok := d.refreshFromPeer(ctx, p); ok && age < maxContactAge {
 			return true
 		}
 	}
 	return false
 }
 
-// checkVoters asks voters, nearest first, until one has contact with the
-// quorum; then it asks the zone peers, which may reach other voters.
-func (d *distribution) checkVoters(ctx context.Context) {
+// refreshFromVoters polls voters, nearest first, until one has recent contact
+// with the quorum. If none has, it polls the zone peers, which may reach other
+// voters.
+func (d *distribution) refreshFromVoters(ctx context.Context) {
 	voters := d.votersByDistance()
 	for _, p := range voters[:min(len(voters), maxVoterAttempts)] {
-		if age, ok := d.checkPeer(ctx, p); ok && age < freshContact {
+		if age, ok := d.refreshFromPeer(ctx, p); ok && age < maxContactAge {
 			return
 		}
 	}
-	d.checkZone(ctx)
+	d.refreshFromZone(ctx)
 }
 
 func (d *distribution) votersByDistance() []peer {
@@ -151,14 +156,14 @@
 	return out
 }
 
-// checkPeer pulls from p, makes the withdrawn keys equal and takes over the
-// contact that p had. Only durations cross between VMs; the time of the call is
-// counted into the age.
-func (d *distribution) checkPeer(ctx context.Context, p peer) (time.Duration, bool) {
+// refreshFromPeer pulls from p, synchronizes the withdrawn keys and adopts the
+// contact that p had. VMs exchange only durations, not clock readings; the
+// duration of the call counts toward the age.
+func (d *distribution) refreshFromPeer(ctx context.Context, p peer) (time.Duration, bool) {
 	asked := d.node.clock()
 	answer, err := d.pullFrom(ctx, p.address, &configv1.PullRequest{Since: d.revision()})
 	if err != nil {
-		d.node.logger.Debug("check failed", zap.String("vm", p.vm), zap.Error(err))
+		d.node.logger.Debug("pull from peer failed", zap.String("vm", p.vm), zap.Error(err))
 		return 0, false
 	}
 	if answer.GetKeyDigest() != d.node.withdrawn.Digest() {
@@ -170,6 +175,6 @@
 		return 0, false
 	}
 	age := time.Duration(answer.GetControlContactAgeMs()) * time.Millisecond
-	d.lease.confirm(asked.Add(-age))
+	d.contact.record(asked.Add(-age))
 	return age, true
 }
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -27,8 +27,8 @@
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
-// Guards against callers that exceed a limit and still reach a target, and
-// against refusals that do not say not-run.
+// Guards against requests that exceed a limit and still reach a target, and
+// against refusals that are not marked as not-run.
 func TestCallerLimits(t *testing.T) {
 	document := testDocument()
 	document.Limits.MaxBodyBytes = 2000
@@ -57,7 +57,7 @@
 		}
 	}
 	if engine.Started() != 0 {
-		t.Errorf("%d requests reached the engine", engine.Started())
+		t.Errorf("%d requests above a limit reached the engine", engine.Started())
 	}
 	engine.SetFaults(standin.Faults{StallAfter: 1})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -96,17 +96,17 @@
 	return files
 }
 
-// Guards against a VM that goes on showing an old certificate, or shows none
-// while the files are being replaced.
+// Guards against a VM that keeps using an old certificate, or has no
+// certificate while the files are being replaced.
 func TestCertificateReload(t *testing.T) {
 	folder := t.TempDir()
-	c := &certificate{files: writeCertificate(t, folder, "first"), logger: zap.NewNop()}
+	c := &certificateReloader{files: writeCertificate(t, folder, "first"), logger: zap.NewNop()}
 	if err := c.load(); err != nil {
 		t.Fatal(err)
 	}
 	name := func() string {
 		c.mu.Lock()
-		c.checked = time.Time{}
+		c.lastCheck = time.Time{}
 		c.mu.Unlock()
 		leaf, err := x509.ParseCertificate(c.get().Certificate[0])
 		if err != nil {
@@ -118,16 +118,16 @@
 		t.Fatal(err)
 	}
 	if got := name(); got != "first" {
-		t.Errorf("while the files are replaced: %q", got)
+		t.Errorf("while the files are being replaced: got certificate %q", got)
 	}
 	writeCertificate(t, folder, "second one")
 	if got := name(); got != "second one" {
-		t.Errorf("after the files were replaced: %q", got)
+		t.Errorf("after the files were replaced: got certificate %q", got)
 	}
 }
 
-// Guards against a daemon that cuts off running streams on SIGTERM, or that
-// does not exit with 0. It runs the real program, with TLS.
+// Guards against a daemon that aborts streams on SIGTERM or exits with a status
+// other than 0. The test runs the real binary, with TLS.
 func TestGracefulShutdown(t *testing.T) {
 	folder := t.TempDir()
 	binary := filepath.Join(folder, "cuminwingd")
@@ -164,21 +164,21 @@
 		t.Fatal(err)
 	}
 	defer engine.Close()
-	await(t, "answer", func() bool { return ask(t, vm, "dossier", 1, nil).whole() })
+	await(t, "answer", func() bool { return ask(t, vm, "dossier", 1, nil).complete() })
 	got := ask(t, vm, "dossier", 500, func(n int) {
 		if n == 20 {
 			_ = daemon.Process.Signal(syscall.SIGTERM)
 		}
 	})
-	if !got.whole() {
-		t.Errorf("stream was cut off: %d done, %q, %d bytes", got.done, got.failed, len(got.text))
+	if !got.complete() {
+		t.Errorf("incomplete stream: %d end markers, error %q, %d bytes", got.done, got.failed, len(got.text))
 	}
 	if err := daemon.Wait(); err != nil {
-		t.Errorf("daemon: %v\n%s", err, logs.String())
+		t.Errorf("daemon exited with %v\n%s", err, logs.String())
 	}
 	if conn, err := net.Dial("tcp", s.CallerAddress); err == nil {
 		conn.Close()
-		t.Error("the daemon still listens")
+		t.Error("the daemon still accepts connections after it exited")
 	}
 }
 
--- a/internal/daemon/logs_test.go
+++ b/internal/daemon/logs_test.go
@@ -10,7 +10,7 @@
 	"github.com/cuminwing/cuminwing/internal/settings"
 )
 
-// Guards against log lines per request: lines are for changes of state.
+// Guards against a log line for each request: only state changes are logged.
 func TestSteadyLoadWritesNoLogLines(t *testing.T) {
 	core, logs := logobserver.New(zapcore.DebugLevel)
 	document := testDocument()
@@ -26,21 +26,21 @@
 	t.Cleanup(node.Close)
 	vm := &testVM{node, "http://" + s.CallerAddress}
 	startEngine(t, "e1", false, vm)
-	// The last change of state of a start.
+	// Taking the order lease is the last state change of a start.
 	await(t, "order lease", func() bool { return logs.FilterMessage("order lease taken").Len() > 0 })
-	if got := ask(t, vm, "warm-up", 5, nil); !got.whole() {
+	if got := ask(t, vm, "warm-up", 5, nil); !got.complete() {
 		t.Fatalf("%+v", got)
 	}
 	before := logs.Len()
 	if before == 0 {
-		t.Fatal("the start of a VM wrote no line, so the test would notice none")
+		t.Fatal("the start of a VM logged nothing, so the log capture does not work")
 	}
 	for range 100 {
-		if got := ask(t, vm, "dossier", 5, nil); !got.whole() {
+		if got := ask(t, vm, "dossier", 5, nil); !got.complete() {
 			t.Fatalf("%+v", got)
 		}
 	}
 	if lines := logs.All()[before:]; len(lines) > 0 {
-		t.Errorf("100 requests wrote %d lines, the first is %q", len(lines), lines[0].Message)
+		t.Errorf("100 requests logged %d lines, the first is %q", len(lines), lines[0].Message)
 	}
 }
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// payloadInterval bounds how often a changed payload is spread.
-	payloadInterval = 250 * time.Millisecond
-	// leaveRepeat is how long a leaving VM repeats that it leaves.
-	leaveRepeat = 3 * membership.TickInterval
+	// payloadUpdateInterval is how often the announced revision and key digest
+	// of this VM are updated.
+	payloadUpdateInterval = 250 * time.Millisecond
+	// leaveDuration is how long a VM that shuts down repeats its leave message.
+	leaveDuration = 3 * membership.TickInterval
 )
 
-// startMembership joins the other VMs.
+// startMembership joins the cluster by gossip.
 func (n *Node) startMembership() error {
 	secret, err := n.clusterSecret()
 	if err != nil {
@@ -41,9 +42,9 @@
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, n.clock())
 	n.gossip = gossip.New(socket, secret, core, n.clock)
-	n.duty(n.gossip.Run)
-	n.duty(func(ctx context.Context) {
-		every(ctx, payloadInterval, func() {
+	n.background(n.gossip.Run)
+	n.background(func(ctx context.Context) {
+		every(ctx, payloadUpdateInterval, func() {
 			self := n.self()
 			n.gossip.UpdateSelf(self.ConfigRevision, self.KeyDigest)
 		})
@@ -51,8 +52,9 @@
 	return nil
 }
 
-// clusterSecret reads the shared secret; without one, which only loopback
-// addresses allow, packets are authenticated by the empty secret.
+// clusterSecret reads the shared secret of the gossip protocol. Without a
+// secret, which the settings allow only for loopback addresses, packets are
+// authenticated with an empty one.
 func (n *Node) clusterSecret() ([]byte, error) {
 	if n.settings.ClusterSecretFile == "" {
 		return nil, nil
@@ -68,11 +70,11 @@
 	return secret, nil
 }
 
-// minSecretBytes is the least length of the shared secret, 128 bits.
+// minSecretBytes is the minimum length of the shared secret, 128 bits.
 const minSecretBytes = 16
 
-// leaveMembership tells the other VMs before this one stops.
+// leaveMembership announces to the other VMs that this VM is leaving.
 func (n *Node) leaveMembership() {
 	n.gossip.Leave()
-	time.Sleep(leaveRepeat)
+	time.Sleep(leaveDuration)
 }
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -7,9 +7,9 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// Guards against VMs that do not find each other over real sockets, targets
-// known only where they announce themselves, a shutdown that others find out
-// by time-out, and usage that a shutdown loses.
+// Guards against VMs that do not discover each other over real sockets, targets
+// that are known only to the VM they announce themselves to, a shutdown that
+// other VMs detect only by time-out, and usage that is lost in a shutdown.
 func TestVMsShareMembersTargetsAndUsage(t *testing.T) {
 	vms := startVMs(t, testDocument(), "muc-a", "muc-a", "muc-b")
 	for _, vm := range vms {
@@ -19,7 +19,7 @@
 	awaitTarget(t, vms[1], "engine-1")
 	awaitTarget(t, vms[2], "engine-1")
 
-	await(t, "answer", func() bool { return ask(t, vms[0], "grade it", 20, nil).whole() })
+	await(t, "answer", func() bool { return ask(t, vms[0], "grade it", 20, nil).complete() })
 	billed := func() (tokens uint64) {
 		totals, err := usageServer{vms[2].Node}.Report(t.Context(), &usagev1.Query{Workspace: "yards"})
 		if err != nil {
@@ -32,16 +32,16 @@
 	}
 
 	vms[1].registry.Drain("engine-1", true)
-	await(t, "drain at the other zone", func() bool {
+	await(t, "drain arrives in the other zone", func() bool {
 		e, ok := vms[2].registry.Get("engine-1")
 		return ok && e.Draining
 	})
 
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), awaitTimeout)
 	defer cancel()
 	if err := vms[0].Shutdown(ctx); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "end of vm-1", func() bool { return len(vms[1].members()) == 2 && len(vms[2].members()) == 2 })
-	await(t, "bill of the answer", func() bool { return billed() == 20 })
+	await(t, "other VMs have removed vm-1", func() bool { return len(vms[1].members()) == 2 && len(vms[2].members()) == 2 })
+	await(t, "usage of the answer is recorded", func() bool { return billed() == 20 })
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -1,6 +1,6 @@
-// Package daemon wires the parts of one VM together: it binds the listeners,
-// starts a goroutine for each duty and stops them in order. Each duty has a
-// file of its own.
+// Package daemon assembles one VM: it binds the listeners, starts the
+// background goroutines and stops them in order. Each subsystem has its own
+// file.
 package daemon
 
 import (
@@ -31,27 +31,26 @@
 	"github.com/cuminwing/cuminwing/internal/usage"
 )
 
-// Options are what a test replaces.
+// Options replaces defaults of a VM, mostly for tests.
 type Options struct {
-	// Logger takes state changes.
+	// Logger receives log lines about state changes.
 	Logger *zap.Logger
 	// Clock returns the current time.
 	Clock serving.Clock
 	// Dial opens TCP connections to VMs and targets.
 	Dial targethttp.Dialer
-	// ListenPacket opens the UDP socket of membership.
+	// ListenPacket opens the UDP socket of the gossip protocol.
 	ListenPacket func(address string) (net.PacketConn, error)
-	// Document replaces the configuration in force while the control log
-	// has none.
+	// Document is the active configuration until the control log has one.
 	Document *config.Document
-	// LeastOutstanding replaces prefix-aware routing by the baseline that it
-	// is measured against.
+	// LeastOutstanding replaces prefix-aware routing with least-outstanding
+	// routing, the baseline in benchmarks.
 	LeastOutstanding bool
-	// Log replaces the control log; it gets the replicated parts of the VM.
+	// Log replaces the control log. It receives the replicated parts of the VM.
 	Log func(parts map[control.Kind]control.Part) control.Log
 }
 
-// Node is one running VM.
+// Node is a running VM.
 type Node struct {
 	settings    settings.Settings
 	options     Options
@@ -71,35 +70,36 @@
 	withdrawals  *withdrawals
 	// seenVoters holds the voters that have been members, by name.
 	seenVoters sync.Map
-	// routing shares the index of cached blocks.
-	routing *routingDuty
+	// regionIndex is the share of this VM in the prefix index of the region.
+	regionIndex *regionIndex
 
-	// parts make up the replicated state; duties add theirs before
-	// startControl runs. log is nil on a VM that cannot reach any voter yet.
+	// parts are the replicated state machines; each subsystem registers its own
+	// before startControlLog runs. log is nil until startControlLog has opened
+	// it.
 	parts    map[control.Kind]control.Part
 	log      control.Log
-	rates    *rates
+	rates    *rateLimiter
 	observer *observer
-	// replica is nil on a VM without a disk.
+	// replica is nil on a VM without a data folder.
 	replica *replica.Replica
 
 	// peerMux serves other VMs, adminMux serves operators' tools.
 	peerMux    *http.ServeMux
 	adminMux   *http.ServeMux
 	peerClient *http.Client
-	// peerTLS is nil if VMs speak to each other in clear text.
+	// peerTLS is nil if VMs communicate without TLS.
 	peerTLS *tls.Config
 
 	ctx     context.Context
 	cancel  context.CancelFunc
-	duties  sync.WaitGroup
+	tasks   sync.WaitGroup
 	servers []*http.Server
-	// callerServer is the one of servers that callers use.
+	// callerServer is the element of servers that listens for callers.
 	callerServer *http.Server
 	draining     atomic.Bool
 }
 
-// Start binds the listeners of a VM and starts its duties.
+// Start binds the listeners of a VM and starts its background goroutines.
 func Start(s settings.Settings, options Options) (*Node, error) {
 	n := newNode(s, options)
 	steps := []func() error{
@@ -113,14 +113,14 @@
 		n.startUsage,
 		n.startOrders,
 		n.startServing,
-		n.startControl,
+		n.startControlLog,
 		n.startUsageFlush,
-		n.startOrdering,
+		n.startOrderDispatcher,
 		n.startStatus,
 		n.startAdmin,
 		n.startPeers,
 		n.startDistribution,
-		n.startKeyDuties,
+		n.startKeySync,
 		n.startRouting,
 		n.startCallers,
 	}
@@ -170,7 +170,7 @@
 	return n
 }
 
-// Snapshot returns the configuration in force; nil before there is one.
+// Snapshot returns the active configuration, or nil if there is none yet.
 func (n *Node) Snapshot() *config.Snapshot { return n.snapshot.Load() }
 
 // members returns the live VMs, this one included.
@@ -178,7 +178,7 @@
 	return n.gossip.Members()
 }
 
-// self describes this VM.
+// self returns the membership record of this VM.
 func (n *Node) self() membership.Member {
 	m := membership.Member{
 		VM:            n.settings.VM,
@@ -199,9 +199,9 @@
 	return m
 }
 
-// duty runs f in a goroutine of its own until the VM stops.
-func (n *Node) duty(f func(ctx context.Context)) {
-	n.duties.Go(func() { f(n.ctx) })
+// background runs f in a goroutine. The context of f ends when the VM stops.
+func (n *Node) background(f func(ctx context.Context)) {
+	n.tasks.Go(func() { f(n.ctx) })
 }
 
 // every calls f at each interval until ctx ends.
@@ -218,14 +218,14 @@
 	}
 }
 
-// listen serves handler on address until the VM stops.
+// listen starts serving on address in the background until the VM stops.
 func (n *Node) listen(address string, server *http.Server) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
 	n.servers = append(n.servers, server)
-	n.duty(func(context.Context) {
+	n.background(func(context.Context) {
 		var err error
 		if server.TLSConfig != nil {
 			err = server.ServeTLS(listener, "", "")
@@ -239,38 +239,39 @@
 	return nil
 }
 
-// drainPoll is how often a shutdown looks whether a duty has finished.
-const drainPoll = 20 * time.Millisecond
+// pollInterval is how often code that waits checks for a drain decision or
+// retries the final usage flush.
+const pollInterval = 20 * time.Millisecond
 
-// lameDuck is how long a VM that shuts down goes on accepting connections, so
-// that load balancers see that it is not ready before it refuses any.
-const lameDuck = time.Second
+// lameDuckPeriod is how long a VM that shuts down keeps accepting connections,
+// so that load balancers see the failing readiness check before connections are
+// refused.
+const lameDuckPeriod = time.Second
 
-// Shutdown turns readiness off, goes on serving until load balancers have
-// noticed, waits until the running requests have ended or ctx ends, and stops
-// the VM.
+// Shutdown fails the readiness check, keeps serving for lameDuckPeriod, waits
+// until requests in flight have ended or ctx ends, and stops the VM.
 func (n *Node) Shutdown(ctx context.Context) error {
 	n.draining.Store(true)
 	n.logger.Info("VM is shutting down", zap.Int64("running_requests", n.callers.Active()))
 	n.leaveMembership()
 	select {
 	case <-ctx.Done():
-	case <-time.After(lameDuck):
+	case <-time.After(lameDuckPeriod):
 	}
-	// Waits for connections, not only for handlers: the end of an answer is
-	// still on its way when its handler has returned.
+	// Shutdown waits for connections, not only for handlers: when a handler has
+	// returned, the end of its response may still be in transit.
 	err := n.callerServer.Shutdown(ctx)
-	n.flushLastUsage()
-	n.leaveControl()
+	n.flushFinalUsage()
+	n.transferLeadership()
 	n.Close()
 	return err
 }
 
-// Close stops the VM at once, as a crash would.
+// Close stops the VM immediately, like a crash.
 func (n *Node) Close() {
 	n.cancel()
 	for _, s := range n.servers {
 		_ = s.Close()
 	}
-	n.duties.Wait()
+	n.tasks.Wait()
 }
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -20,15 +20,17 @@
 )
 
 const (
-	// sampleRing is about a second of samples at 4,600 requests a second.
-	sampleRing = 4096
-	// burnSaveInterval is how much of the counters a crash may lose.
+	// sampleBufferSize holds about one second of samples at 4,600 requests per
+	// second.
+	sampleBufferSize = 4096
+	// burnSaveInterval limits how much of the burn counters a crash loses.
 	burnSaveInterval = time.Minute
 	burnFile         = "burn.state"
 	collectTimeout   = 2 * time.Second
 )
 
-// observer is the duty that counts finished requests.
+// observer counts finished requests for metrics and for the error budget burn
+// report.
 type observer struct {
 	node    *Node
 	samples *ring.Ring[serving.Sample]
@@ -36,34 +38,35 @@
 	metrics *metrics.Set
 }
 
-// startObserver counts requests and serves the burn report.
+// startObserver starts counting requests and serves the burn report and the
+// metrics.
 func (n *Node) startObserver() error {
 	o := &observer{
 		node:    n,
-		samples: ring.New[serving.Sample](sampleRing),
+		samples: ring.New[serving.Sample](sampleBufferSize),
 		tracker: burn.NewTracker(n.settings.VM, n.clock()),
 		metrics: metrics.New(n.settings.VM),
 	}
 	n.observer = o
 	o.load()
-	o.publish()
+	o.registerGauges()
 	server := burnv1.NewBurnServiceServer(o)
 	n.peerMux.Handle(server.PathPrefix(), server)
 	n.adminMux.Handle(server.PathPrefix(), server)
 	n.adminMux.Handle("GET /debug/vars", metrics.Handler())
-	n.duty(o.run)
+	n.background(o.run)
 	return nil
 }
 
-// Observe implements serving.Observer. A full ring drops the sample and counts
-// it, so that observation never delays a request.
+// Observe implements serving.Observer. If the buffer is full, it drops and
+// counts the sample, so that observation never delays a request.
 func (o *observer) Observe(s serving.Sample) {
 	if !o.samples.Push(s) {
 		o.metrics.Add("samples_dropped", 1)
 	}
 }
 
-func (o *observer) publish() {
+func (o *observer) registerGauges() {
 	n := o.node
 	o.metrics.Gauge("running_requests", func() any { return n.callers.Active() })
 	o.metrics.Gauge("config_revision", func() any { return n.self().ConfigRevision })
@@ -73,7 +76,7 @@
 }
 
 func (o *observer) run(ctx context.Context) {
-	o.node.duty(func(ctx context.Context) { every(ctx, burnSaveInterval, o.save) })
+	o.node.background(func(ctx context.Context) { every(ctx, burnSaveInterval, o.save) })
 	for {
 		s, ok := o.samples.Pop(ctx)
 		if !ok {
@@ -87,7 +90,7 @@
 	}
 }
 
-func (o *observer) file() string {
+func (o *observer) path() string {
 	return filepath.Join(o.node.settings.DataFolder, burnFile)
 }
 
@@ -95,7 +98,7 @@
 	if o.node.settings.DataFolder == "" {
 		return
 	}
-	data, err := statefile.Read(o.file())
+	data, err := statefile.Read(o.path())
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
@@ -104,7 +107,7 @@
 		err = proto.Unmarshal(data, &summary)
 	}
 	if err != nil {
-		o.node.logger.Warn("stored burn counters are not usable; the report starts empty", zap.Error(err))
+		o.node.logger.Warn("failed to load the stored burn counters; starting with empty counters", zap.Error(err))
 		return
 	}
 	o.tracker.Restore(&summary)
@@ -116,7 +119,7 @@
 	}
 	data, err := proto.Marshal(o.tracker.Summary(o.node.clock()))
 	if err == nil {
-		err = statefile.Write(o.file(), data)
+		err = statefile.Write(o.path(), data)
 	}
 	if err != nil {
 		o.metrics.Add("burn_save_errors", 1)
@@ -128,8 +131,8 @@
 	return o.tracker.Summary(o.node.clock()), nil
 }
 
-// Report implements burnv1.BurnService: it merges the counters of all live
-// VMs and names those that did not answer.
+// Report implements burnv1.BurnService. It merges the counters of all live VMs
+// and lists the VMs that did not answer.
 func (o *observer) Report(ctx context.Context, _ *burnv1.ReportRequest) (*burnv1.ReportResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
@@ -168,11 +171,11 @@
 	return summaries, missing
 }
 
-// Counter returns a counter of this VM.
+// Counter returns the value of a metric counter of this VM.
 func (n *Node) Counter(name string) int64 { return n.observer.metrics.Value(name) }
 
-// Knows reports whether this VM knows this many live VMs and usable targets
-// and a leader of the control log.
+// Knows reports whether this VM sees at least the given numbers of live VMs and
+// usable targets and a leader of the control log.
 func (n *Node) Knows(vms, targets int) bool {
 	usable := 0
 	for _, t := range n.registry.All() {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -18,81 +18,86 @@
 )
 
 const (
-	ordersInterval = 500 * time.Millisecond
-	// orderTimeout bounds the delivery of one order.
+	// orderRoundInterval is how often the leader plans and sends orders.
+	orderRoundInterval = 500 * time.Millisecond
+	// orderTimeout limits the delivery of one order.
 	orderTimeout = time.Second
-	// orderResend is the pause before an order that was taken is sent again,
-	// in case the target forgot it.
-	orderResend = 5 * time.Second
-	// ordersLogTimeout bounds one command to the control log.
+	// orderResendInterval is how long an accepted order is not sent again. It is
+	// then resent in case the target has lost it.
+	orderResendInterval = 5 * time.Second
+	// ordersLogTimeout limits one command to the control log.
 	ordersLogTimeout = time.Second
 )
 
-// ordering is the duty that orders targets while this VM leads.
-type ordering struct {
+// orderDispatcher plans orders and sends them to targets while this VM leads
+// the control log.
+type orderDispatcher struct {
 	node   *Node
 	part   *orders.Part
 	client *http.Client
 	lease  orders.Lease
-	// renewed is when the lease was last renewed.
-	renewed time.Time
-	// taken holds when a target last took an order, by order ID.
-	taken map[string]time.Time
+	// leaseRenewed is when the lease was last acquired or renewed.
+	leaseRenewed time.Time
+	// acceptedAt records when the target last accepted an order, by order ID.
+	acceptedAt map[string]time.Time
 }
 
-// startOrders adds the order state; it must run before startControl.
+// startOrders registers the order state as a replicated part. It must run
+// before startControlLog.
 func (n *Node) startOrders() error {
 	n.orders = orders.NewPart()
 	n.parts[control.KindOrders] = n.orders
 	return nil
 }
 
-// startOrdering orders targets; it must run after startControl.
-func (n *Node) startOrdering() error {
-	o := &ordering{
-		node:   n,
-		part:   n.orders,
-		client: &http.Client{Transport: &http.Transport{DialContext: n.options.Dial, IdleConnTimeout: peerIdleTimeout}},
-		taken:  make(map[string]time.Time),
-	}
-	n.duty(func(ctx context.Context) {
-		every(ctx, ordersInterval, func() { o.step(ctx) })
+// startOrderDispatcher starts the order dispatcher. It must run after
+// startControlLog.
+func (n *Node) startOrderDispatcher() error {
+	o := &orderDispatcher{
+		node:       n,
+		part:       n.orders,
+		client:     &http.Client{Transport: &http.Transport{DialContext: n.options.Dial, IdleConnTimeout: peerIdleTimeout}},
+		acceptedAt: make(map[string]time.Time),
+	}
+	n.background(func(ctx context.Context) {
+		every(ctx, orderRoundInterval, func() { o.step(ctx) })
 	})
 	return nil
 }
 
-// step does one round: hold the lease, plan, record, send.
-func (o *ordering) step(ctx context.Context) {
+// step runs one round: acquire or renew the lease, plan, commit the plan, send
+// the orders.
+func (o *orderDispatcher) step(ctx context.Context) {
 	snapshot := o.node.Snapshot()
 	if snapshot == nil || !o.node.log.HoldsLease() {
-		o.release()
+		o.dropLease()
 		return
 	}
-	if err := o.hold(ctx); err != nil {
-		o.node.logger.Info("order lease is not held", zap.Error(err))
+	if err := o.acquireLease(ctx); err != nil {
+		o.node.logger.Info("failed to acquire or renew the order lease", zap.Error(err))
 		return
 	}
 	plan := orders.Next(o.node.registry.All(), snapshot.Document.Models, o.part.State(), o.node.clock())
-	if err := o.record(ctx, plan); err != nil {
-		o.node.logger.Info("order plan was not recorded", zap.Error(err))
+	if err := o.commitPlan(ctx, plan); err != nil {
+		o.node.logger.Info("failed to commit the order plan", zap.Error(err))
 		return
 	}
 	o.sendAll(ctx)
 }
 
-func (o *ordering) release() {
+func (o *orderDispatcher) dropLease() {
 	o.lease = orders.Lease{}
-	clear(o.taken)
+	clear(o.acceptedAt)
 }
 
-// hold takes or renews the order lease.
-func (o *ordering) hold(ctx context.Context) error {
+// acquireLease acquires or renews the order lease.
+func (o *orderDispatcher) acquireLease(ctx context.Context) error {
 	sent := o.node.clock()
-	if o.lease.Holds(sent) && sent.Sub(o.renewed) < orders.RenewInterval {
+	if o.lease.Holds(sent) && sent.Sub(o.leaseRenewed) < orders.RenewInterval {
 		return nil
 	}
 	if !o.lease.Holds(sent) {
-		o.release()
+		o.dropLease()
 	}
 	request := &ordersv1.Acquire{Vm: o.node.settings.VM, Incarnation: o.node.incarnation, Fence: o.lease.Fence}
 	answer, err := o.propose(ctx, &ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: request}})
@@ -100,10 +105,10 @@
 		return err
 	}
 	if !answer.GetAccepted() {
-		o.release()
-		return fmt.Errorf("another VM holds it under fencing number %d", answer.GetFence())
+		o.dropLease()
+		return fmt.Errorf("another VM holds the order lease with fencing token %d", answer.GetFence())
 	}
-	o.renewed = sent
+	o.leaseRenewed = sent
 	if o.lease.Fence != 0 {
 		o.lease.Renew(sent)
 		return nil
@@ -113,8 +118,8 @@
 	return nil
 }
 
-// record commits the plan before anything is sent.
-func (o *ordering) record(ctx context.Context, plan orders.Plan) error {
+// commitPlan commits the plan to the log before any order is sent.
+func (o *orderDispatcher) commitPlan(ctx context.Context, plan orders.Plan) error {
 	fence := o.lease.Fence
 	var commands []*ordersv1.Command
 	if len(plan.Done) > 0 {
@@ -132,62 +137,62 @@
 			return err
 		}
 		if !answer.GetAccepted() {
-			o.release()
-			return fmt.Errorf("fencing number %d is old", fence)
+			o.dropLease()
+			return fmt.Errorf("fencing token %d is stale", fence)
 		}
 	}
-	o.log(plan)
+	o.logPlan(plan)
 	return nil
 }
 
-func (o *ordering) log(plan orders.Plan) {
+func (o *orderDispatcher) logPlan(plan orders.Plan) {
 	for _, issued := range plan.Issue {
 		o.node.logger.Info("order issued", zap.String("order", issued.GetId()))
 	}
 	for _, id := range plan.Done {
-		delete(o.taken, id)
+		delete(o.acceptedAt, id)
 		o.node.logger.Info("order done", zap.String("order", id))
 	}
 	for _, id := range plan.Failed {
-		delete(o.taken, id)
+		delete(o.acceptedAt, id)
 		o.node.logger.Warn("order failed", zap.String("order", id))
 	}
 }
 
-// sendAll delivers the open orders. The number is bounded by the loads that
-// may run at once.
-func (o *ordering) sendAll(ctx context.Context) {
+// sendAll delivers the open orders. Their number is limited by the concurrent
+// loads that the models allow.
+func (o *orderDispatcher) sendAll(ctx context.Context) {
 	for _, open := range o.part.State().Open() {
 		t, known := o.node.registry.Get(open.GetTarget())
-		if !known || t.Incarnation != open.GetIncarnation() || !o.due(open, t) {
+		if !known || t.Incarnation != open.GetIncarnation() || !o.shouldSend(open, t) {
 			continue
 		}
 		err := o.send(ctx, open, t)
 		if errors.Is(err, targethttp.ErrFenced) {
-			o.node.logger.Warn("order lease was lost", zap.Error(err))
-			o.release()
+			o.node.logger.Warn("target rejected an order as fenced; giving up the order lease", zap.Error(err))
+			o.dropLease()
 			return
 		}
 		if err == nil {
-			o.taken[open.GetId()] = o.node.clock()
+			o.acceptedAt[open.GetId()] = o.node.clock()
 		}
 	}
 }
 
-// due reports whether an order may and should be sent to t now.
-func (o *ordering) due(open *ordersv1.Order, t *target.Target) bool {
+// shouldSend reports whether an order is due and may be sent to t now.
+func (o *orderDispatcher) shouldSend(open *ordersv1.Order, t *target.Target) bool {
 	now := o.node.clock()
-	if taken, ok := o.taken[open.GetId()]; ok && now.Sub(taken) < orderResend {
+	if taken, ok := o.acceptedAt[open.GetId()]; ok && now.Sub(taken) < orderResendInterval {
 		return false
 	}
-	// An order must not arrive after the lease has ended.
+	// An order must not arrive after the lease has expired.
 	if !o.lease.Holds(now.Add(orderTimeout)) || !o.node.log.HoldsLease() {
 		return false
 	}
 	return t.Capabilities.Fencing || o.lease.HoldsAlone(now)
 }
 
-func (o *ordering) send(ctx context.Context, open *ordersv1.Order, t *target.Target) error {
+func (o *orderDispatcher) send(ctx context.Context, open *ordersv1.Order, t *target.Target) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return targethttp.SendOrder(ctx, o.client, t, targethttp.Order{
@@ -201,7 +206,7 @@
 	})
 }
 
-func (o *ordering) propose(ctx context.Context, c *ordersv1.Command) (*ordersv1.Answer, error) {
+func (o *orderDispatcher) propose(ctx context.Context, c *ordersv1.Command) (*ordersv1.Answer, error) {
 	body, err := proto.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("encode order command: %w", err)
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -10,10 +10,10 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Guards against a roll-out that does not reach engines with and without
-// fencing check, repeats a load, moves all engines of a zone, or stops when
-// the leader is lost.
-func TestRollOutSurvivesTheLeader(t *testing.T) {
+// Guards against a rollout that does not reach engines with and without fencing
+// checks, loads a version twice, updates all engines of a zone, or stops when
+// the leader fails.
+func TestRolloutSurvivesLeaderFailure(t *testing.T) {
 	document := testDocument()
 	document.Models[testModel] = config.Model{ServingVersion: "v1", OrderedVersion: "v2", MaxConcurrentLoads: 1}
 	vms := startVMs(t, document, "muc-a", "muc-a", "muc-a")
@@ -47,14 +47,14 @@
 		return leader >= 0
 	})
 	vms[leader].Close()
-	rest := vms[(leader+1)%len(vms)]
-	await(t, "half of the zone on v2", func() bool { return holding(rest) == 2 })
+	survivor := vms[(leader+1)%len(vms)]
+	await(t, "half of the zone on v2", func() bool { return holding(survivor) == 2 })
 	time.Sleep(2 * orders.RenewInterval)
 	loads := 0
 	for _, e := range engines {
 		loads += e.Loads()
 	}
-	if loads != 2 || holding(rest) != 2 {
-		t.Fatalf("%d loads and %d engines on v2, want 2 of 4", loads, holding(rest))
+	if loads != 2 || holding(survivor) != 2 {
+		t.Fatalf("%d loads and %d engines on v2, want 2 and 2 of 4 engines", loads, holding(survivor))
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits of connections between VMs.
+// Limits for connections between VMs.
 const (
 	peerDialTimeout       = time.Second
 	peerIdleTimeout       = time.Minute
@@ -13,8 +13,8 @@
 	maxIdlePeerConns      = 8
 )
 
-// startPeers serves other VMs and operators' tools. Duties register their
-// handlers on peerMux and adminMux before or after this step.
+// startPeers serves other VMs and operators' tools. Handlers may be registered
+// on peerMux and adminMux before or after this step.
 func (n *Node) startPeers() error {
 	peer := &http.Server{Handler: n.peerMux, ReadHeaderTimeout: peerReadHeaderTimeout, TLSConfig: n.peerTLS}
 	if err := n.listen(n.settings.PeerAddress, peer); err != nil {
--- a/internal/daemon/peertls.go
+++ b/internal/daemon/peertls.go
@@ -9,19 +9,20 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/peertls"
 )
 
-// Reasons to refuse a peer with a valid certificate.
+// Errors for peers that have a valid certificate but do not match the
+// membership.
 var (
-	errPeerAddress = errors.New("peer certificate names another VM than the member at that address")
-	errPeerZone    = errors.New("peer certificate names another zone than the member")
+	errPeerAddressMismatch = errors.New("peer certificate names a different VM than the member at this address")
+	errPeerZoneMismatch    = errors.New("peer certificate names a different zone than the member")
 )
 
-// startPeerTLS secures connections between VMs if the settings ask for it.
+// startPeerTLS enables mutual TLS between VMs if the settings configure it.
 func (n *Node) startPeerTLS() error {
 	if n.settings.PeerTLS == nil {
 		return nil
 	}
 	self := peertls.Identity{Zone: n.settings.Zone, VM: n.settings.VM}
-	source, err := peertls.Load(*n.settings.PeerTLS, self, n.checkPeer)
+	source, err := peertls.Load(*n.settings.PeerTLS, self, n.verifyPeer)
 	if err != nil {
 		return err
 	}
@@ -31,13 +32,13 @@
 	return nil
 }
 
-// checkPeer compares a certificate with the membership. A VM that is not yet a
-// member is accepted on its certificate, because VMs call each other before
-// membership has spread.
-func (n *Node) checkPeer(id peertls.Identity, address netip.AddrPort, dialed bool) error {
+// verifyPeer checks the identity in a certificate against the membership. A VM
+// that is not a member yet is accepted, because VMs call each other before
+// gossip has spread the membership.
+func (n *Node) verifyPeer(id peertls.Identity, address netip.AddrPort, dialed bool) error {
 	for vm, voter := range n.settings.Voters {
 		if dialed && voter == address.String() && vm != id.VM {
-			return errPeerAddress
+			return errPeerAddressMismatch
 		}
 	}
 	for _, m := range n.members() {
@@ -46,16 +47,16 @@
 			continue
 		}
 		if dialed && member == address && m.VM != id.VM {
-			return errPeerAddress
+			return errPeerAddressMismatch
 		}
 		if m.VM != id.VM {
 			continue
 		}
 		if m.Zone != id.Zone {
-			return errPeerZone
+			return errPeerZoneMismatch
 		}
 		if member.Addr() != address.Addr() || dialed && member != address {
-			return errPeerAddress
+			return errPeerAddressMismatch
 		}
 	}
 	return nil
--- a/internal/daemon/peertls_test.go
+++ b/internal/daemon/peertls_test.go
@@ -13,8 +13,8 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// secureVM starts VM number i of a service with mutual TLS.
-func secureVM(t *testing.T, authority *peertls.Authority, s settings.Settings, join []string) *Node {
+// startTLSVM starts a VM that uses mutual TLS between VMs.
+func startTLSVM(t *testing.T, authority *peertls.Authority, s settings.Settings, join []string) *Node {
 	t.Helper()
 	cert, key, err := authority.Issue(peertls.Identity{Zone: s.Zone, VM: s.VM}, time.Now().Add(time.Hour))
 	if err != nil {
@@ -41,8 +41,9 @@
 	return node
 }
 
-// Guards against a control log that does not work over mutual TLS, and
-// against peers whose certificate names another VM or zone than the member.
+// Guards against a control log that does not work over mutual TLS, and against
+// accepting peers whose certificate names a different VM or zone than the
+// member at their address.
 func TestPeersAreIdentifiedByCertificate(t *testing.T) {
 	authority, err := peertls.NewAuthority(time.Now().Add(time.Hour))
 	if err != nil {
@@ -62,9 +63,9 @@
 	}
 	var nodes []*Node
 	for _, s := range all {
-		nodes = append(nodes, secureVM(t, authority, s, join))
+		nodes = append(nodes, startTLSVM(t, authority, s, join))
 	}
-	await(t, "a committed command", func() bool {
+	await(t, "a command is committed", func() bool {
 		_, err := usageServer{nodes[2]}.Report(t.Context(), &usagev1.Query{})
 		return err == nil && len(nodes[0].members()) == 3
 	})
@@ -80,12 +81,12 @@
 		{peertls.Identity{Zone: "muc-a", VM: "vm-9"}, true, false},
 		{peertls.Identity{Zone: "muc-b", VM: "vm-2"}, true, false},
 	} {
-		if err := nodes[0].checkPeer(c.id, second, c.dialed); (err == nil) != c.ok {
-			t.Errorf("%+v: %v", c, err)
+		if err := nodes[0].verifyPeer(c.id, second, c.dialed); (err == nil) != c.ok {
+			t.Errorf("%+v: got error %v", c, err)
 		}
 	}
 	elsewhere := netip.MustParseAddrPort("127.0.0.9:4000")
-	if nodes[0].checkPeer(peertls.Identity{Zone: "muc-a", VM: "vm-2"}, elsewhere, false) == nil {
-		t.Error("a call of vm-2 from another address was accepted")
+	if nodes[0].verifyPeer(peertls.Identity{Zone: "muc-a", VM: "vm-2"}, elsewhere, false) == nil {
+		t.Error("a connection from vm-2 at a different address was accepted")
 	}
 }
--- a/internal/daemon/picker.go
+++ b/internal/daemon/picker.go
@@ -12,15 +12,15 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// targetPicker sends calls of models and of services to their pickers and
-// reports the results of the attempts to health.
+// targetPicker passes requests for models and for services to their respective
+// pickers and reports the results of upstream attempts to health.
 type targetPicker struct {
 	engines  serving.Picker
 	services serving.Picker
 	health   *retry.Health
 }
 
-// newTargetPicker adds the choice of service replicas to that of engines.
+// newTargetPicker returns a picker for engines and service replicas.
 func (n *Node) newTargetPicker(engines serving.Picker, health *retry.Health) serving.Picker {
 	services := &servicepick.Picker{Registry: n.registry, Clock: n.clock, Zone: n.settings.Zone, Region: n.settings.Region, Health: health}
 	return targetPicker{engines, services, health}
@@ -45,8 +45,8 @@
 	return &wrapped, nil
 }
 
-// startClaims adds the records of at-most-once requests to the replicated
-// state and returns the way to them.
+// startClaims registers the claims of at-most-once requests as a replicated
+// part and returns a client for them.
 func (n *Node) startClaims() serving.Claims {
 	n.parts[control.KindClaims] = idempotency.NewPart()
 	return &idempotency.Client{
--- a/internal/daemon/queue.go
+++ b/internal/daemon/queue.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// queueOvercommit lets a few more requests go than the targets have batch
-	// slots, so that a slot that becomes free is taken at once.
+	// queueOvercommit admits somewhat more requests than the targets have batch
+	// slots, so that a freed slot is taken immediately.
 	queueOvercommit = 1.25
-	// prefillPerTarget is how many prompts may be on their way to one target
-	// at a time: one is computed and the next ones are there when it ends.
-	prefillPerTarget = 6
-	// defaultSlots stands for targets that announce no capacity.
+	// prefillsPerTarget limits the prompts in flight to one target: one is being
+	// prefilled, and the others are ready when it finishes.
+	prefillsPerTarget = 6
+	// defaultSlots is the number of batch slots assumed for targets that do not
+	// announce a capacity.
 	defaultSlots = 64
 )
 
@@ -23,10 +24,10 @@
 	return &fairqueue.Queue{Clock: n.clock, Capacity: n.groupCapacity}
 }
 
-// groupCapacity returns what a group may have in flight from this VM: an equal
-// part of the slots, or what the other VMs leave free according to the load
-// reports, whichever is more. Reports lag, so the equal part keeps VMs from
-// shutting each other out.
+// groupCapacity returns how many requests to a group this VM may have in
+// flight: its equal share of the slots, or the slots that the other VMs leave
+// free according to the load reports, whichever is larger. Load reports lag
+// behind, so the equal share keeps VMs from starving each other.
 func (n *Node) groupCapacity(group string, own fairqueue.Usage) fairqueue.Limits {
 	slots, running, waiting, targets := 0, 0, 0, 0
 	for _, t := range n.groupTargets(group) {
@@ -41,11 +42,12 @@
 	vms := max(1, len(n.members()))
 	return fairqueue.Limits{
 		InFlight:   shareOf(float64(slots)*queueOvercommit, vms, running+waiting-own.InFlight),
-		Prefilling: shareOf(float64(targets)*prefillPerTarget, vms, waiting-own.Prefilling),
+		Prefilling: shareOf(float64(targets)*prefillsPerTarget, vms, waiting-own.Prefilling),
 	}
 }
 
-// shareOf divides a limit over VMs, of which the others use a part.
+// shareOf returns the part of a limit available to this VM: the equal share of
+// one of the VMs, or what the others do not use, whichever is larger.
 func shareOf(limit float64, vms, others int) int {
 	equal := math.Ceil(limit / float64(vms))
 	return int(max(equal, limit-float64(max(0, others))))
--- a/internal/daemon/ratecodec.go
+++ b/internal/daemon/ratecodec.go
@@ -52,8 +52,8 @@
 	return report
 }
 
-// ceilMilliseconds rounds up: an age that is too high only makes a refund
-// smaller.
+// ceilMilliseconds rounds up, because an age that is too high only reduces a
+// refund.
 func ceilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/daemon/rates.go
+++ b/internal/daemon/rates.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// rateTick is how often waiting requests are looked at.
-	rateTick = 25 * time.Millisecond
-	// rateReportInterval is how often a VM that holds tokens reports. It must
-	// be well below the time to live of grants.
+	// waiterCheckInterval is how often waiting requests are checked for tokens.
+	waiterCheckInterval = 25 * time.Millisecond
+	// rateReportInterval is how often a VM that holds tokens reports to the
+	// root. It must be well below the time to live of grants.
 	rateReportInterval = 400 * time.Millisecond
-	// rateAskInterval is the same while requests wait.
-	rateAskInterval = 50 * time.Millisecond
-	// rateCallTimeout bounds a call to the root or to a zone peer. Two
-	// regions are 30 ms apart, one way.
+	// rateWaitingReportInterval is the report interval while requests wait for
+	// tokens.
+	rateWaitingReportInterval = 50 * time.Millisecond
+	// rateCallTimeout limits a call to the root or to a zone peer. The one-way
+	// latency between two regions is 30 ms.
 	rateCallTimeout = 250 * time.Millisecond
 )
 
-// rates is the duty that admits requests by the rate of their workspace.
-type rates struct {
-	node  *Node
-	local *ratelimit.Local
-	wake  chan struct{}
+// rateLimiter admits requests by the token rate of their workspace.
+type rateLimiter struct {
+	node        *Node
+	local       *ratelimit.Local
+	waiterAdded chan struct{}
 
 	mu   sync.Mutex
 	root *ratelimit.Root
 	term uint64
 }
 
-// startRates creates the limiter of this VM and serves the other VMs.
+// startRates creates the rate limiter of this VM and serves the other VMs.
 func (n *Node) startRates() error {
 	holder := ratelimit.Holder{VM: n.settings.VM, Incarnation: n.incarnation}
 	slot := fmt.Sprintf("%s/%d", n.settings.Zone, n.settings.Slot)
-	n.rates = &rates{
-		node:  n,
-		local: ratelimit.NewLocal(n.clock(), holder, slot),
-		wake:  make(chan struct{}, 1),
+	n.rates = &rateLimiter{
+		node:        n,
+		local:       ratelimit.NewLocal(n.clock(), holder, slot),
+		waiterAdded: make(chan struct{}, 1),
 	}
 	server := ratev1.NewRateServiceServer(n.rates)
 	n.peerMux.Handle(server.PathPrefix(), server)
-	n.duty(n.rates.run)
+	n.background(n.rates.run)
 	return nil
 }
 
 // Admit implements serving.Limiter.
-func (r *rates) Admit(ctx context.Context, snap *config.Snapshot, workspace string, tokens int64, maxWait time.Duration) (serving.Reservation, *serving.Refusal) {
-	plan, ok := planOf(snap, workspace)
+func (r *rateLimiter) Admit(ctx context.Context, snap *config.Snapshot, workspace string, tokens int64, maxWait time.Duration) (serving.Reservation, *serving.Refusal) {
+	plan, ok := ratePlan(snap, workspace)
 	if !ok {
 		return nil, &serving.Refusal{Status: http.StatusForbidden, Code: "no_rate", Message: "the workspace has no rate", Run: serving.NotRun}
 	}
@@ -64,16 +65,17 @@
 		return nil, &serving.Refusal{Status: http.StatusBadRequest, Code: "request_exceeds_burst", Message: "the request needs more tokens than the workspace's burst", Run: serving.NotRun}
 	}
 	waiter := r.local.Admit(r.node.clock(), workspace, plan, float64(tokens))
-	if waiter != nil && !r.await(ctx, workspace, waiter, maxWait) {
+	if waiter != nil && !r.awaitTokens(ctx, workspace, waiter, maxWait) {
 		return nil, rateRefusal(plan, tokens)
 	}
-	return &reservation{rates: r, workspace: workspace, admitted: r.node.clock(), charged: tokens}, nil
+	return &reservation{limiter: r, workspace: workspace, admitted: r.node.clock(), charged: tokens}, nil
 }
 
-// await waits for tokens. It reports false if they did not come in time.
-func (r *rates) await(ctx context.Context, workspace string, w *ratelimit.Waiter, maxWait time.Duration) bool {
+// awaitTokens waits until the request gets its tokens. It returns false if
+// maxWait or ctx ends first.
+func (r *rateLimiter) awaitTokens(ctx context.Context, workspace string, w *ratelimit.Waiter, maxWait time.Duration) bool {
 	select {
-	case r.wake <- struct{}{}:
+	case r.waiterAdded <- struct{}{}:
 	default:
 	}
 	timer := time.NewTimer(maxWait)
@@ -100,7 +102,7 @@
 
 // reservation implements serving.Reservation.
 type reservation struct {
-	rates     *rates
+	limiter   *rateLimiter
 	workspace string
 	admitted  time.Time
 	charged   int64
@@ -110,11 +112,11 @@
 // Settle implements serving.Reservation.
 func (r *reservation) Settle(actual int64) {
 	r.once.Do(func() {
-		r.rates.local.Settle(r.rates.node.clock(), r.workspace, r.admitted, float64(r.charged), float64(actual))
+		r.limiter.local.Settle(r.limiter.node.clock(), r.workspace, r.admitted, float64(r.charged), float64(actual))
 	})
 }
 
-func planOf(snap *config.Snapshot, workspace string) (ratelimit.Plan, bool) {
+func ratePlan(snap *config.Snapshot, workspace string) (ratelimit.Plan, bool) {
 	rate, ok := snap.Document.Rates[workspace]
 	if !ok {
 		return ratelimit.Plan{}, false
@@ -128,15 +130,15 @@
 }
 
 // run reports to the root and borrows from zone peers while requests wait. It
-// sleeps while nothing is held or wanted.
-func (r *rates) run(ctx context.Context) {
+// is idle while this VM neither holds nor needs tokens.
+func (r *rateLimiter) run(ctx context.Context) {
 	var reported time.Time
 	active := false
 	for {
 		interval := rateReportInterval
 		switch {
 		case r.local.Waiting():
-			interval = rateTick
+			interval = waiterCheckInterval
 		case !active:
 			interval = time.Hour
 		}
@@ -145,7 +147,7 @@
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-r.wake:
+		case <-r.waiterAdded:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -160,16 +162,16 @@
 	}
 }
 
-func (r *rates) reportInterval() time.Duration {
+func (r *rateLimiter) reportInterval() time.Duration {
 	if r.local.Waiting() {
-		return rateAskInterval
+		return rateWaitingReportInterval
 	}
 	return rateReportInterval
 }
 
-// report exchanges one report with the root. It reports whether this VM holds
-// or wants anything.
-func (r *rates) report(ctx context.Context) bool {
+// report sends one report to the root and credits the grants. It returns
+// whether this VM holds or needs tokens.
+func (r *rateLimiter) report(ctx context.Context) bool {
 	report, ok := r.local.Report(r.node.clock())
 	if !ok {
 		return false
@@ -198,8 +200,9 @@
 	return true
 }
 
-// rootAddress returns the peer address of the leader of the control log.
-func (r *rates) rootAddress() (string, bool) {
+// rootAddress returns the peer address of the root, which runs on the leader of
+// the control log.
+func (r *rateLimiter) rootAddress() (string, bool) {
 	if r.node.log == nil {
 		return "", false
 	}
@@ -216,55 +219,57 @@
 	return address, ok
 }
 
-// borrow asks zone peers for what waiting requests lack.
-func (r *rates) borrow(ctx context.Context) {
-	for _, lack := range r.local.Shortfalls(r.node.clock()) {
+// borrow asks zone peers for the tokens that waiting requests still need.
+func (r *rateLimiter) borrow(ctx context.Context) {
+	for _, shortfall := range r.local.Shortfalls(r.node.clock()) {
 		for _, m := range r.node.members() {
 			if m.Zone != r.node.settings.Zone || m.VM == r.node.settings.VM {
 				continue
 			}
-			lack.Tokens -= r.borrowFrom(ctx, m.PeerAddress, lack)
-			if lack.Tokens <= 0 {
+			shortfall.Tokens -= r.borrowFrom(ctx, m.PeerAddress, shortfall)
+			if shortfall.Tokens <= 0 {
 				break
 			}
 		}
 	}
 }
 
-func (r *rates) borrowFrom(ctx context.Context, address string, lack ratelimit.Shortfall) float64 {
+func (r *rateLimiter) borrowFrom(ctx context.Context, address string, shortfall ratelimit.Shortfall) float64 {
 	ctx, cancel := context.WithTimeout(ctx, rateCallTimeout)
 	defer cancel()
 	client := ratev1.NewRateServiceProtobufClient(r.node.peerURL(address), r.node.peerClient)
 	sent := r.node.clock()
-	response, err := client.Lend(ctx, &ratev1.LendRequest{Workspace: lack.Workspace, Tokens: lack.Tokens})
+	response, err := client.Lend(ctx, &ratev1.LendRequest{Workspace: shortfall.Workspace, Tokens: shortfall.Tokens})
 	if err != nil {
 		return 0
 	}
 	ttl := time.Duration(response.GetTtlMs()) * time.Millisecond
-	r.local.Borrow(r.node.clock(), sent, lack.Workspace, response.GetTokens(), ttl)
+	r.local.Borrow(r.node.clock(), sent, shortfall.Workspace, response.GetTokens(), ttl)
 	return response.GetTokens()
 }
 
-// Acquire implements ratev1.RateService on the leader of the control log.
-func (r *rates) Acquire(_ context.Context, request *ratev1.AcquireRequest) (*ratev1.AcquireResponse, error) {
+// Acquire implements ratev1.RateService. Only the leader of the control log
+// grants tokens.
+func (r *rateLimiter) Acquire(_ context.Context, request *ratev1.AcquireRequest) (*ratev1.AcquireResponse, error) {
 	snap := r.node.Snapshot()
 	root := r.currentRoot()
 	if root == nil || snap == nil {
 		return nil, twirp.NewError(twirp.Unavailable, "this VM does not hold the lease of the control log")
 	}
-	plan := func(workspace string) (ratelimit.Plan, bool) { return planOf(snap, workspace) }
+	plan := func(workspace string) (ratelimit.Plan, bool) { return ratePlan(snap, workspace) }
 	grants := root.Handle(r.node.clock(), decodeReport(request), plan)
 	if !r.node.log.HoldsLease() {
-		// The lease may have ended in between; a successor may be granting.
+		// The lease may have expired while the root handled the report, and a new
+		// leader may already be granting tokens.
 		return nil, twirp.NewError(twirp.Unavailable, "the lease of the control log has ended")
 	}
 	return &ratev1.AcquireResponse{Grants: encodeGrants(grants)}, nil
 }
 
-// currentRoot returns the root of this lease; nil without a lease. A lease of
-// another term gets a new root, because other leaders may have granted tokens
-// in between.
-func (r *rates) currentRoot() *ratelimit.Root {
+// currentRoot returns the root for the current leader lease, or nil without a
+// lease. A lease in another term gets a new root, because other leaders may
+// have granted tokens in the meantime.
+func (r *rateLimiter) currentRoot() *ratelimit.Root {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.node.replica == nil || r.node.log == nil || !r.node.log.HoldsLease() {
@@ -280,7 +285,7 @@
 }
 
 // Lend implements ratev1.RateService.
-func (r *rates) Lend(_ context.Context, request *ratev1.LendRequest) (*ratev1.LendResponse, error) {
+func (r *rateLimiter) Lend(_ context.Context, request *ratev1.LendRequest) (*ratev1.LendResponse, error) {
 	tokens, ttl := r.local.Lend(r.node.clock(), request.GetWorkspace(), request.GetTokens())
 	return &ratev1.LendResponse{Tokens: tokens, TtlMs: ttl.Milliseconds()}, nil
 }
--- a/internal/daemon/restart_bench_test.go
+++ b/internal/daemon/restart_bench_test.go
@@ -12,6 +12,7 @@
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
+// Workspaces and edits per day at the design size.
 const (
 	designWorkspaces = 1900
 	designEdits      = 2300
@@ -27,8 +28,8 @@
 	return d
 }
 
-// commitDay commits the first document and the edits of a day.
-func commitDay(tb testing.TB, n *Node) uint64 {
+// commitDailyEdits commits the first document and the edits of one day.
+func commitDailyEdits(tb testing.TB, n *Node) uint64 {
 	tb.Helper()
 	edit, err := sections.FirstEdit("first", designDocument())
 	if err != nil {
@@ -54,8 +55,9 @@
 	return base
 }
 
-// BenchmarkRestartVM measures the start of a voter that holds the edits of a
-// day on its disk: until it serves a configuration, and until it has the last.
+// BenchmarkRestartVM measures the restart of a voter that has the edits of one
+// day on disk: the time until it serves a configuration, and the time until it
+// has activated the last edit.
 func BenchmarkRestartVM(b *testing.B) {
 	s := loadExample(b, "verband")[0]
 	s.Voters = map[string]string{s.VM: s.PeerAddress}
@@ -64,8 +66,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	last := commitDay(b, n)
-	await(b, "last edit in force", func() bool { return n.distribution.revision() == last })
+	last := commitDailyEdits(b, n)
+	await(b, "last edit is active", func() bool { return n.distribution.revision() == last })
 	n.Close()
 	var serving, current time.Duration
 	for b.Loop() {
@@ -77,7 +79,7 @@
 			b.Fatal("the restarted VM does not serve")
 		}
 		serving += time.Since(start)
-		await(b, "last edit in force", func() bool { return n.distribution.revision() == last })
+		await(b, "last edit is active", func() bool { return n.distribution.revision() == last })
 		current += time.Since(start)
 		n.Close()
 	}
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -20,79 +20,82 @@
 )
 
 const (
-	// routingInterval is how often duties are divided anew and expired
-	// entries removed.
-	routingInterval = 200 * time.Millisecond
-	// maxWaitingNews bounds the dispatches and load reports that wait for one
-	// peer; more are dropped, because newer reports and cache events follow.
-	maxWaitingNews = 256
-	// maxWaitingExports bounds the copies to KV stores that wait.
-	maxWaitingExports = 64
-	// newsBytes is about the size of one publication with its HTTP headers.
-	// Telling all peers stops at newsBytesPerSecond, which is two thirds of
-	// the control cost per VM at the design size; the owner of the chain is
-	// always told of a dispatch.
-	newsBytes          = 400
-	newsBytesPerSecond = 15000
+	// reconcileInterval is how often chains and targets are reassigned to VMs
+	// and expired entries are removed.
+	reconcileInterval = 200 * time.Millisecond
+	// maxPendingUpdates limits the updates queued for one peer. Updates that do
+	// not fit are dropped, because newer load reports and cache events follow.
+	maxPendingUpdates = 256
+	// maxPendingExports limits the queued copies to KV stores.
+	maxPendingExports = 64
+	// updateBytes approximates the size of one publication with its HTTP
+	// headers. Broadcasts stop at maxBroadcastBytesPerSecond, which is two
+	// thirds of the control traffic per VM at the design size. The owner of a
+	// chain receives every dispatch regardless of this limit.
+	updateBytes                = 400
+	maxBroadcastBytesPerSecond = 15000
 )
 
-// routingDuty keeps this VM's part of the index of cached blocks.
-type routingDuty struct {
+// regionIndex maintains this VM's share of the index of cached blocks.
+type regionIndex struct {
 	node *Node
 	// members returns the VMs that share the index.
 	members func() []membership.Member
-	index   *prefix.Index
+	local   *prefix.Index
 	cache   *targethttp.CacheReader
 	picker  *routing.Picker
 	intents *prefix.Intents
 	exports *ring.Ring[routing.Export]
-	// lookupTimeout bounds the wait for the owner of a chain.
+	// lookupTimeout limits the wait for the owner of a chain.
 	lookupTimeout time.Duration
-	// peers is who owns which chains and how to reach them.
+	// peers holds the current assignment of chains and targets and the clients
+	// of the other VMs.
 	peers atomic.Pointer[indexPeers]
 
-	// known and readers belong to the duty that divides the targets.
-	known   map[string]target.Ref
-	readers map[string]*cacheReader
-	done    sync.WaitGroup
+	// knownTargets and readers are used only by the goroutine that runs
+	// reconcile.
+	knownTargets map[string]target.Ref
+	readers      map[string]*cacheReader
+	tasks        sync.WaitGroup
 
 	mu sync.Mutex
-	// credit is what telling all peers may still cost, as of credited.
-	credit   float64
-	credited time.Time
+	// broadcastBudget is how many bytes broadcasts may still use, as of
+	// budgetUpdated.
+	broadcastBudget float64
+	budgetUpdated   time.Time
 }
 
-// indexPeers divides chains over the VMs of the region, and streams of targets
-// over the VMs of the zone. Chains are shared by the zones of a region, so
-// that a VM knows the caches of all engines that it may use at home.
+// indexPeers assigns chains to the VMs of the region, and the event streams of
+// targets to the VMs of the zone. The zones of a region share the chains, so
+// that a VM knows the caches of all engines that it may use in its region.
 type indexPeers struct {
 	owners  *prefix.Members
 	readers *prefix.Members
 	clients map[string]*indexPeer
 }
 
-// newPicker builds the choice of target.
+// newPicker creates the region index and the prefix-aware picker that uses it.
 func (n *Node) newPicker() *routing.Picker {
-	r := &routingDuty{
+	r := &regionIndex{
 		intents:       prefix.NewIntents(),
-		exports:       ring.New[routing.Export](maxWaitingExports),
+		exports:       ring.New[routing.Export](maxPendingExports),
 		lookupTimeout: lookupTimeout,
 		node:          n,
 		members:       n.members,
-		index:         prefix.NewIndex(n.clock),
+		local:         prefix.NewIndex(n.clock),
 		cache:         targethttp.NewCacheReader(n.options.Dial),
-		known:         make(map[string]target.Ref),
+		knownTargets:  make(map[string]target.Ref),
 		readers:       make(map[string]*cacheReader),
 	}
 	r.peers.Store(&indexPeers{owners: prefix.NewMembers(nil), readers: prefix.NewMembers(nil)})
-	n.routing = r
+	n.regionIndex = r
 	r.picker = &routing.Picker{
 		Registry:   n.registry,
 		Clock:      n.clock,
 		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Index:      r.index,
+		Index:      r.local,
 		Remote:     r,
-		Dispatched: r.dispatched,
+		Dispatched: r.onDispatch,
 		Export:     func(e routing.Export) { r.exports.Push(e) },
 		Zone:       n.settings.Zone,
 		Region:     n.settings.Region,
@@ -102,20 +105,20 @@
 
 // startRouting shares the index with the other VMs.
 func (n *Node) startRouting() error {
-	r := n.routing
+	r := n.regionIndex
 	server := indexv1.NewIndexServiceServer(indexServer{r})
 	n.peerMux.Handle(server.PathPrefix(), server)
-	r.divide(n.ctx)
-	n.duty(func(ctx context.Context) {
-		every(ctx, routingInterval, func() { r.divide(ctx) })
-		r.done.Wait()
+	r.reconcile(n.ctx)
+	n.background(func(ctx context.Context) {
+		every(ctx, reconcileInterval, func() { r.reconcile(ctx) })
+		r.tasks.Wait()
 	})
-	n.duty(r.fillStores)
+	n.background(r.exportToStores)
 	return nil
 }
 
-// fillStores copies reused blocks to KV stores, one chain at a time.
-func (r *routingDuty) fillStores(ctx context.Context) {
+// exportToStores copies reused blocks to KV stores, one chain at a time.
+func (r *regionIndex) exportToStores(ctx context.Context) {
 	for {
 		e, ok := r.exports.Pop(ctx)
 		if !ok {
@@ -127,17 +130,17 @@
 	}
 }
 
-// divide follows changes of the membership and of the registry.
-func (r *routingDuty) divide(ctx context.Context) {
-	changed := r.followMembers(ctx)
-	r.dropGone()
+// reconcile applies changes of the membership and of the target registry.
+func (r *regionIndex) reconcile(ctx context.Context) {
+	changed := r.updateMembers(ctx)
+	r.dropStaleTargets()
 	r.assignReaders(ctx, changed)
-	r.index.Tick()
+	r.local.Tick()
 	r.intents.Expire(r.node.clock())
 }
 
-// followMembers reports true if owners changed.
-func (r *routingDuty) followMembers(ctx context.Context) bool {
+// updateMembers returns true if the assignment changed or a VM restarted.
+func (r *regionIndex) updateMembers(ctx context.Context) bool {
 	var region, zone []string
 	clients := make(map[string]*indexPeer)
 	old := r.peers.Load()
@@ -149,7 +152,7 @@
 		if m.Zone == r.node.settings.Zone {
 			zone = append(zone, m.VM)
 		}
-		clients[m.VM] = r.peer(ctx, old, m)
+		clients[m.VM] = r.indexPeerFor(ctx, old, m)
 	}
 	slices.Sort(region)
 	slices.Sort(zone)
@@ -165,23 +168,25 @@
 	return !same
 }
 
-// dropGone removes the entries of incarnations that died or were replaced.
-func (r *routingDuty) dropGone() {
+// dropStaleTargets removes the index entries of target incarnations that are
+// gone or were replaced.
+func (r *regionIndex) dropStaleTargets() {
 	now := make(map[string]target.Ref)
 	for _, t := range r.node.registry.All() {
 		now[t.ID] = t.Ref()
 	}
-	for id, ref := range r.known {
+	for id, ref := range r.knownTargets {
 		if now[id] != ref {
-			r.index.Drop(ref)
+			r.local.Drop(ref)
 		}
 	}
-	r.known = now
+	r.knownTargets = now
 }
 
-// assignReaders reads the targets of this zone that fall to this VM. A change
-// of owners starts the streams anew, which gives the new owners their entries.
-func (r *routingDuty) assignReaders(ctx context.Context, restart bool) {
+// assignReaders reads the event streams of the targets in this zone that are
+// assigned to this VM. A change of owners restarts the streams, which sends the
+// new owners their entries.
+func (r *regionIndex) assignReaders(ctx context.Context, restart bool) {
 	wanted := make(map[string]*target.Target)
 	readers := r.peers.Load().readers
 	for _, t := range r.node.registry.All() {
@@ -204,20 +209,21 @@
 	}
 }
 
-// dispatched tells the owner of the chain what the target is about to hold,
-// and all VMs of the region how much work it got. Without the latter, the VMs
-// know the work of each other only from reports that are a second old.
-func (r *routingDuty) dispatched(d routing.Dispatch) {
+// onDispatch tells the owner of the chain which blocks the target is about to
+// hold, and all VMs of the region how much work the target received. Without
+// the latter, VMs would learn of each other's work only from load reports,
+// which are one second old.
+func (r *regionIndex) onDispatch(d routing.Dispatch) {
 	peers := r.peers.Load()
 	self := r.node.settings.VM
 	owner := ""
-	work := &indexv1.Dispatch{Target: toTarget(d.Ref), WorkUs: uint32(d.Work.Microseconds())}
+	work := &indexv1.Dispatch{Target: encodeRef(d.Ref), WorkUs: uint32(d.Work.Microseconds())}
 	if len(d.Chain) > 0 {
 		owner = peers.owners.Owner(d.Chain[0])
 	}
 	if peer, ok := peers.clients[owner]; ok && owner != self {
-		whole := &indexv1.Dispatch{Target: work.Target, WorkUs: work.WorkUs, Blocks: toNumbers(d.Chain), Held: uint32(d.Held), Failed: d.Failed}
-		peer.waiting.Push(news{dispatch: whole})
+		full := &indexv1.Dispatch{Target: work.Target, WorkUs: work.WorkUs, Blocks: encodeHashes(d.Chain), Held: uint32(d.Held), Failed: d.Failed}
+		peer.pending.Push(indexUpdate{dispatch: full})
 	}
 	if owner == self {
 		r.intents.Placed(d.Chain)
@@ -225,55 +231,56 @@
 	if d.Failed {
 		return
 	}
-	r.tell(news{dispatch: work}, func(vm string, _ *indexPeer) bool { return vm != owner && vm != self })
+	r.broadcast(indexUpdate{dispatch: work}, func(vm string, _ *indexPeer) bool { return vm != owner && vm != self })
 }
 
-// shareLoad tells the VMs of other zones, which get no heartbeats, the load of
-// a target of this zone.
-func (r *routingDuty) shareLoad(ref target.Ref, l target.Load) {
+// broadcastLoad sends the load of a target of this zone to the VMs of other
+// zones, which receive no heartbeats from it.
+func (r *regionIndex) broadcastLoad(ref target.Ref, l target.Load) {
 	report := &indexv1.LoadReport{
-		Target:              toTarget(ref),
+		Target:              encodeRef(ref),
 		Running:             uint32(max(0, l.Running)),
 		Waiting:             uint32(max(0, l.Waiting)),
 		QueuedPrefillTokens: uint32(max(0, l.QueuedPrefillTokens)),
 	}
-	r.tell(news{load: report}, func(_ string, p *indexPeer) bool { return p.zone != r.node.settings.Zone })
+	r.broadcast(indexUpdate{load: report}, func(_ string, p *indexPeer) bool { return p.zone != r.node.settings.Zone })
 }
 
-// otherZones reports whether the region has VMs in other zones.
-func (r *routingDuty) otherZones() bool {
+// spansZones reports whether the region has VMs in other zones.
+func (r *regionIndex) spansZones() bool {
 	peers := r.peers.Load()
 	return len(peers.owners.Names()) > len(peers.readers.Names())
 }
 
-// tell queues news for the selected peers if that is affordable.
-func (r *routingDuty) tell(n news, selected func(vm string, p *indexPeer) bool) {
-	var told []*indexPeer
+// broadcast queues an update for the selected peers if the budget allows it.
+func (r *regionIndex) broadcast(n indexUpdate, selected func(vm string, p *indexPeer) bool) {
+	var recipients []*indexPeer
 	for vm, peer := range r.peers.Load().clients {
 		if selected(vm, peer) {
-			told = append(told, peer)
+			recipients = append(recipients, peer)
 		}
 	}
-	if !r.affordable(len(told)) {
+	if !r.takeBroadcastBudget(len(recipients)) {
 		return
 	}
-	for _, peer := range told {
-		peer.waiting.Push(n)
+	for _, peer := range recipients {
+		peer.pending.Push(n)
 	}
 }
 
-// affordable takes the cost of telling n peers from the credit.
-func (r *routingDuty) affordable(n int) bool {
+// takeBroadcastBudget charges the broadcast budget for an update to n peers. It
+// returns false, without charging, if the budget does not suffice.
+func (r *regionIndex) takeBroadcastBudget(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.node.clock()
-	r.credit += newsBytesPerSecond * now.Sub(r.credited).Seconds()
-	r.credit = min(r.credit, newsBytesPerSecond)
-	r.credited = now
-	cost := float64(n * newsBytes)
-	if n < 1 || r.credit < cost {
+	r.broadcastBudget += maxBroadcastBytesPerSecond * now.Sub(r.budgetUpdated).Seconds()
+	r.broadcastBudget = min(r.broadcastBudget, maxBroadcastBytesPerSecond)
+	r.budgetUpdated = now
+	cost := float64(n * updateBytes)
+	if n < 1 || r.broadcastBudget < cost {
 		return false
 	}
-	r.credit -= cost
+	r.broadcastBudget -= cost
 	return true
 }
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -21,7 +21,7 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// routingVM is the routing duty of a VM with its listeners.
+// routingVM is a VM that runs only routing and the listener for peers.
 type routingVM struct {
 	*Node
 	picker *routing.Picker
@@ -31,7 +31,7 @@
 	t.Helper()
 	vms := make([]routingVM, n)
 	for i := range vms {
-		// The last VM is in another zone than the targets.
+		// The last VM is in a different zone than the targets.
 		s := settings.Settings{VM: fmt.Sprint("vm-", i), Zone: "a", Region: "r", Slot: i}
 		if i > 0 && i == n-1 {
 			s.Zone = "b"
@@ -51,9 +51,10 @@
 		return all
 	}
 	for _, vm := range vms {
-		vm.routing.members = members
-		// The test must not depend on the speed of the machine.
-		vm.routing.lookupTimeout = 5 * time.Second
+		vm.regionIndex.members = members
+		// The long timeout makes the test independent of the speed of the
+		// machine.
+		vm.regionIndex.lookupTimeout = 5 * time.Second
 		t.Cleanup(vm.Close)
 		for _, step := range []func() error{vm.startPeers, vm.startRouting} {
 			if err := step(); err != nil {
@@ -61,7 +62,8 @@
 			}
 		}
 	}
-	// Membership spreads announcements in a whole VM.
+	// A complete VM spreads announcements by gossip; here they go to all
+	// registries directly.
 	announce := targethttp.AnnounceHandler(func(a target.Announcement) {
 		for _, vm := range vms {
 			vm.registry.Announce(a, time.Now())
@@ -85,8 +87,8 @@
 	return e
 }
 
-// nextCall numbers calls: the late cancel message of one ends another that has
-// its ID.
+// nextCall numbers the calls. Each call needs its own ID, because a late cancel
+// message would otherwise end another call with the same ID.
 var nextCall atomic.Int64
 
 func promptCall(workspace, prompt string) *serving.Call {
@@ -99,8 +101,8 @@
 	return call
 }
 
-// send runs one request as serving does and returns the target and the number
-// of reused tokens.
+// sendCall runs one request as the serving package does and returns the target
+// and the number of cached tokens.
 func sendCall(t *testing.T, vm routingVM, call *serving.Call) (string, int) {
 	t.Helper()
 	pick, refusal := vm.picker.Pick(context.Background(), serving.PickRequest{Call: call})
@@ -120,9 +122,9 @@
 	return pick.Target.ID, chunk.CachedTokens
 }
 
-// Guards against VMs that do not share what they know: a prompt that one VM
-// sent is found by the others, also after events were lost, in another
-// workspace never, and after the owner of the chain is gone.
+// Guards against VMs that do not share the index: a prompt that one VM has sent
+// must be found by the other VMs, also after lost events and after the owner of
+// the chain has failed, but never in another workspace.
 func TestVMsShareIndex(t *testing.T) {
 	vms := startRoutingVMs(t, 3)
 	cache := standin.CacheOptions{Blocks: 1000, BlockTokens: 10, EventLoss: 0.3}
@@ -134,7 +136,7 @@
 	for i := range 12 {
 		want[i], _ = sendCall(t, vms[i%3], promptCall("w", prompt(i)))
 	}
-	await(t, "all VMs find all prompts", func() bool { return sharedBy(vms, want) })
+	await(t, "all VMs find every prompt", func() bool { return allVMsFind(vms, want) })
 	for i, id := range want {
 		if got, cached := sendCall(t, vms[(i+1)%3], promptCall("w", prompt(i))); got != id || cached != 50 {
 			t.Errorf("prompt %d went to %s with %d cached tokens, want %s", i, got, cached, id)
@@ -146,11 +148,11 @@
 		}
 	}
 	vms[2].Close()
-	await(t, "the other VMs own all prompts", func() bool { return sharedBy(vms[:2], want) })
+	await(t, "the remaining VMs find every prompt", func() bool { return allVMsFind(vms[:2], want) })
 }
 
-// Guards the way of a reused prefix through a KV store to an engine that has
-// never seen it.
+// Guards against a reused prefix that is not copied through a KV store to an
+// engine that has never seen it.
 func TestReusedPrefixReachesOtherEngine(t *testing.T) {
 	vms := startRoutingVMs(t, 1)
 	cache := standin.CacheOptions{Blocks: 100, BlockTokens: 10}
@@ -160,12 +162,12 @@
 	startCachingEngine(t, vms, "kv", cache)
 	await(t, "targets announced", func() bool { return len(vms[0].registry.All()) == 3 })
 	call := promptCall("w", prompt(1))
-	// A slow prefill keeps the second request from going elsewhere.
+	// A low prefill rate keeps the second request on the same engine.
 	slow := config.Model{ServingVersion: "v1", BlockTokens: 10, KVBytesPerToken: 1000, PrefillTokensPerSecond: 100}
 	call.Snapshot = config.NewSnapshot(config.Document{Models: map[string]config.Model{"m": slow}}, 1)
 	first, _ := sendCall(t, vms[0], call)
 	sendCall(t, vms[0], call)
-	await(t, "the store holds the prompt", func() bool { return sharedBy(vms, map[int]string{1: "kv"}) })
+	await(t, "the store holds the prompt", func() bool { return allVMsFind(vms, map[int]string{1: "kv"}) })
 	vms[0].registry.Drain(first, true)
 	if id, cached := sendCall(t, vms[0], call); id == first || cached != 50 {
 		t.Errorf("engine %s reused %d tokens, want 50 at the other engine", id, cached)
@@ -174,15 +176,15 @@
 
 func prompt(i int) string { return strings.Repeat(fmt.Sprintf("%04d", i), 50) }
 
-// sharedBy reports whether each VM finds every prompt at its engine.
-func sharedBy(vms []routingVM, want map[int]string) bool {
+// allVMsFind reports whether each VM finds every prompt on its engine.
+func allVMsFind(vms []routingVM, want map[int]string) bool {
 	for _, vm := range vms {
 		for i, id := range want {
 			scope := prefix.Scope{Workspace: "w", Model: "m", Version: "v1"}
 			chain := prefix.AppendChain(nil, scope.Digest(), prompt(i), 10)
-			holdings, ok := vm.routing.Lookup(context.Background(), chain)
+			holdings, ok := vm.regionIndex.Lookup(context.Background(), chain)
 			if !ok {
-				holdings = vm.routing.index.Lookup(nil, chain)
+				holdings = vm.regionIndex.local.Lookup(nil, chain)
 			}
 			if !slices.ContainsFunc(holdings, func(h prefix.Holding) bool { return h.Ref.ID == id && h.Blocks == 5 }) {
 				return false
@@ -192,44 +194,45 @@
 	return true
 }
 
-// Guards against an owner that stays empty after a restart under its old name.
+// Guards against an owner that does not receive its index entries again after a
+// restart under the same name.
 func TestRestartedOwnerGetsItsEntries(t *testing.T) {
 	vm := startRoutingVMs(t, 2)[0]
-	members := vm.routing.members()
-	duty := &routingDuty{node: vm.Node, members: func() []membership.Member { return members }}
-	duty.peers.Store(vm.routing.peers.Load())
-	defer duty.done.Wait()
+	members := vm.regionIndex.members()
+	index := &regionIndex{node: vm.Node, members: func() []membership.Member { return members }}
+	index.peers.Store(vm.regionIndex.peers.Load())
+	defer index.tasks.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if duty.followMembers(ctx) {
-		t.Error("unchanged members restart the streams")
+	if index.updateMembers(ctx) {
+		t.Error("unchanged members restarted the event streams")
 	}
 	members[1].Incarnation++
-	if !duty.followMembers(ctx) {
-		t.Error("a restarted VM does not get the streams again")
+	if !index.updateMembers(ctx) {
+		t.Error("a restarted VM did not restart the event streams")
 	}
 }
 
-// BenchmarkLookup asks another VM about a prompt of 100 blocks that 20 targets
-// hold.
+// BenchmarkLookup measures a lookup at another VM for a prompt of 100 blocks
+// that 20 targets hold.
 func BenchmarkLookup(b *testing.B) {
 	vms := startRoutingVMs(b, 2)
 	var chain []prefix.Hash
 	for i := range uint64(100) {
 		chain = append(chain, prefix.Hash(i*0x9e3779b97f4a7c15+1))
 	}
-	owner := vms[0].routing.peers.Load().owners.Owner(chain[0])
+	owner := vms[0].regionIndex.peers.Load().owners.Owner(chain[0])
 	from, to := vms[0], vms[1]
 	if owner == "vm-0" {
 		from, to = vms[1], vms[0]
 	}
 	for i := range 20 {
-		to.routing.index.Predict(target.Ref{ID: fmt.Sprint("e", i), Incarnation: 1}, chain, 0)
+		to.regionIndex.local.Predict(target.Ref{ID: fmt.Sprint("e", i), Incarnation: 1}, chain, 0)
 	}
 	var took []time.Duration
 	for b.Loop() {
 		start := time.Now()
-		if _, ok := from.routing.Lookup(context.Background(), chain); !ok {
+		if _, ok := from.regionIndex.Lookup(context.Background(), chain); !ok {
 			b.Fatal("the owner did not answer")
 		}
 		took = append(took, time.Since(start))
--- a/internal/daemon/services_test.go
+++ b/internal/daemon/services_test.go
@@ -29,8 +29,8 @@
 	return s
 }
 
-// call sends one call and returns its status, header and body. Status 0 means
-// that the answer broke off.
+// call sends a request and returns the status, header and body of the response.
+// Status 0 means that no complete response arrived.
 func call(t testing.TB, method, url, key, body string, header ...string) (int, http.Header, string) {
 	t.Helper()
 	resp, err := send(t.Context(), method, url, key, body, header...)
@@ -45,8 +45,8 @@
 	return resp.StatusCode, resp.Header, string(data)
 }
 
-// Guards against calls that lose their method, query, body or answer, and
-// against routes that are open to the wrong callers.
+// Guards against service calls whose method, query, body or response is lost or
+// changed, and against routes that admit the wrong callers.
 func TestServiceCalls(t *testing.T) {
 	vm := startVM(t, "muc-a", testDocument())
 	service := startService(t, "stock", "s1", vm)
@@ -73,12 +73,13 @@
 		}
 	}
 	if seen := service.Seen()[0]; !strings.HasPrefix(seen, "GET /stock/oak?count=2&size=l ") {
-		t.Errorf("request line changed: %.80s", seen)
+		t.Errorf("the request line was changed: %.80s", seen)
 	}
 }
 
-// Guards against retries after the caller got a byte or where the body is
-// gone, and against answers that look whole but are not.
+// Guards against retries after the caller has received a byte or when the
+// request body cannot be replayed, and against truncated responses that look
+// complete.
 func TestServiceRetries(t *testing.T) {
 	large := strings.Repeat("x", 200_000)
 	for _, c := range []struct {
@@ -91,8 +92,8 @@
 		{"dropped answer", standin.ServiceFaults{DropAnswer: true, Requests: 1}, "body", 200, 2},
 		{"overloaded replica", standin.ServiceFaults{Status: 503, Requests: 1}, "body", 200, 2},
 		{"service error", standin.ServiceFaults{Status: 500}, "body", 500, 1},
-		{"body is gone", standin.ServiceFaults{DropAnswer: true, Requests: 1}, large, 502, 1},
-		{"cut answer", standin.ServiceFaults{CutAfter: 2, Requests: 1}, "body", 0, 1},
+		{"body cannot be replayed", standin.ServiceFaults{DropAnswer: true, Requests: 1}, large, 502, 1},
+		{"truncated answer", standin.ServiceFaults{CutAfter: 2, Requests: 1}, "body", 0, 1},
 	} {
 		vm := startVM(t, "muc-a", testDocument())
 		service := startService(t, "stock", "s1", vm)
@@ -104,8 +105,8 @@
 	}
 }
 
-// Guards against faults of a caller's streamed body that are blamed on the
-// target or repeated.
+// Guards against errors in a caller's streamed body that are attributed to the
+// target or retried.
 func TestFaultyStreamedBodies(t *testing.T) {
 	document := testDocument()
 	document.Limits.MaxBodyBytes = 200_000
@@ -113,7 +114,7 @@
 	service := startService(t, "stock", "s1", vm)
 	filler := strings.Repeat("x", 100_000)
 	for body, want := range map[string]int{filler: 200, filler + filler + filler: 413, filler + testKey: 400} {
-		// A reader of unknown length is sent in chunks.
+		// The HTTP client sends a reader of unknown length in chunks.
 		req, err := http.NewRequestWithContext(t.Context(), "POST", vm.base+"/stock", io.MultiReader(strings.NewReader(body)))
 		if err != nil {
 			t.Fatal(err)
@@ -129,12 +130,12 @@
 		}
 	}
 	if service.Total() != 1 {
-		t.Errorf("%d calls ran whole", service.Total())
+		t.Errorf("%d calls were completed, want 1", service.Total())
 	}
 }
 
-// Guards against a slow replica that holds up short calls, and against losing
-// attempts that run on.
+// Guards against a slow replica that delays short calls, and against losing
+// hedged attempts that are not cancelled.
 func TestHedgedCall(t *testing.T) {
 	document := testDocument()
 	stock := document.Routes["stock"]
@@ -149,13 +150,13 @@
 		}
 	}
 	if b.Total() != 4 {
-		t.Errorf("the fast replica ran %d calls", b.Total())
+		t.Errorf("the fast replica ran %d calls, want 4", b.Total())
 	}
 	await(t, "cancelled attempts", func() bool { return a.Gone() == a.Total() })
 }
 
-// Guards against a target that sees a caller key: the key is put in every
-// place that an HTTP client can put it.
+// Guards against forwarding a caller's key to a target. The test puts keys in
+// every place where an HTTP client can put them.
 func TestNoTargetSeesTheKey(t *testing.T) {
 	other, err := keys.New()
 	if err != nil || len(other) != keys.Length {
@@ -179,15 +180,15 @@
 		for _, key := range []string{testKey, other} {
 			for _, form := range []string{key, strings.ToLower(key), base64.StdEncoding.EncodeToString([]byte(key)), base64.StdEncoding.EncodeToString([]byte("user:" + key))} {
 				if strings.Contains(strings.ToLower(seen), strings.ToLower(form)) {
-					t.Errorf("a target saw a key: %.300s", seen)
+					t.Errorf("a target received a key: %.300s", seen)
 				}
 			}
 		}
 	}
 }
 
-// sendEverywhere sends calls that are authorised by testKey and have key in
-// one more place each.
+// sendEverywhere sends requests that are authorized by testKey and contain key
+// in one more place each.
 func sendEverywhere(t *testing.T, base, key string) {
 	t.Helper()
 	basic := "Basic " + base64.StdEncoding.EncodeToString([]byte("user:"+key))
@@ -219,8 +220,9 @@
 	}
 }
 
-// Guards against orders that run again on a resend, a lost answer or a lost
-// connection, and against answers that misstate what happened.
+// Guards against orders that are executed again after a resend, a lost answer
+// or a lost connection, and against responses that misreport whether the order
+// ran.
 func TestOrdersRunAtMostOnce(t *testing.T) {
 	vms := startVMs(t, testDocument(), "muc-a", "muc-b", "muc-a")
 	service := startService(t, "orders", "o1", vms...)
@@ -228,7 +230,7 @@
 		status, header, answer := call(t, "POST", vm.base+"/orders/buy", testKey, body, "Idempotency-Key", key)
 		return status, header.Get("Cuminwing-Run"), answer
 	}
-	await(t, "control log", func() bool { status, _, _ := order(vms[0], "warm-up", "x"); return status == 200 })
+	await(t, "control log is available", func() bool { status, _, _ := order(vms[0], "warm-up", "x"); return status == 200 })
 	for i, vm := range vms {
 		if status, _, answer := order(vm, "k1", "two oak"); status != 200 || answer != "two oak" || service.Executions("k1") != 1 {
 			t.Errorf("resend %d: status %d, answer %q after %d executions", i, status, answer, service.Executions("k1"))
@@ -250,13 +252,13 @@
 		t.Errorf("refused dial: status %d, %s", status, run)
 	}
 	again := startService(t, "orders", "o2", vms...)
-	await(t, "released claim", func() bool { status, _, _ := order(vms[2], "k3", "x"); return status == 200 })
+	await(t, "claim is released", func() bool { status, _, _ := order(vms[2], "k3", "x"); return status == 200 })
 	if again.Executions("k3") != 1 {
-		t.Errorf("%d executions after a release", again.Executions("k3"))
+		t.Errorf("%d executions after the claim was released, want 1", again.Executions("k3"))
 	}
 }
 
-// Guards against a call that keeps running for a caller who is gone.
+// Guards against a call that keeps running after its caller has disconnected.
 func TestCallerGoneCancelsService(t *testing.T) {
 	vm := startVM(t, "muc-a", testDocument())
 	service := startService(t, "stock", "s1", vm)
@@ -273,7 +275,7 @@
 }
 
 // Guards against an at-most-once model request that is resumed, sent to a
-// second engine or run again on a resend.
+// second engine, or executed again after a resend.
 func TestModelRequestsAtMostOnce(t *testing.T) {
 	document := testDocument()
 	grade := document.Routes["grade"]
@@ -289,7 +291,7 @@
 		}
 		return readAnswer(resp, nil)
 	}
-	await(t, "control log", func() bool { return grading(vms[0], "warm-up", true).whole() })
+	await(t, "control log is available", func() bool { return grading(vms[0], "warm-up", true).complete() })
 	for _, stream := range []bool{true, false} {
 		key := fmt.Sprint("stream ", stream)
 		before := started()
--- a/internal/daemon/serving.go
+++ b/internal/daemon/serving.go
@@ -15,7 +15,7 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// startServing builds the request path.
+// startServing assembles the request path.
 func (n *Node) startServing() error {
 	health := retry.NewHealth(n.clock)
 	service := &serving.Service{
@@ -32,7 +32,7 @@
 	}
 	n.callers = &callerhttp.Server{
 		Snapshot: n.Snapshot,
-		Keys:     keyCheck{n},
+		Keys:     keyValidator{n},
 		Serving:  service,
 		Ready:    func() bool { return !n.draining.Load() },
 		Clock:    n.clock,
@@ -41,16 +41,16 @@
 }
 
 const (
-	// callerIdleTimeout is longer than the idle timeout of usual load
-	// balancers, so that it is they who close idle connections.
+	// callerIdleTimeout exceeds the idle timeout of common load balancers, so
+	// that idle connections are closed by the load balancer and not by this VM.
 	callerIdleTimeout = 3 * time.Minute
-	// maxCallerHeaderBytes bounds the header before a configuration is known;
-	// limits.max_header_bytes is checked per request.
+	// maxCallerHeaderBytes limits request headers before a configuration is
+	// known; limits.max_header_bytes is checked per request.
 	maxCallerHeaderBytes = 256 << 10
 )
 
-// callerProtocols allows HTTP/2 in clear text too, for load balancers that
-// speak it.
+// callerProtocols also enables unencrypted HTTP/2, for load balancers that use
+// it.
 func callerProtocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -59,7 +59,7 @@
 	return p
 }
 
-// enginePicker returns the policy that places requests on engines.
+// enginePicker returns the policy that selects an engine for a request.
 func (n *Node) enginePicker(health routing.Health) serving.Picker {
 	picker := n.newPicker()
 	picker.Health = health
@@ -90,21 +90,21 @@
 	return n.listen(n.settings.CallerAddress, n.callerServer)
 }
 
-// keyCheck refuses withdrawn keys, and unconfirmed keys where the workspace
-// asks for it.
-type keyCheck struct{ node *Node }
+// keyValidator rejects withdrawn keys, and unconfirmed keys if the workspace
+// requires confirmation.
+type keyValidator struct{ node *Node }
 
-func (k keyCheck) Usable(h keys.Hash, w config.Workspace) bool {
+func (k keyValidator) Usable(h keys.Hash, w config.Workspace) bool {
 	if k.node.withdrawn.Contains(h) {
 		return false
 	}
 	if w.OnUnconfirmedKeys != config.UnconfirmedRefuse {
 		return true
 	}
-	age, ok := k.node.distribution.lease.age(k.node.clock())
+	age, ok := k.node.distribution.contact.age(k.node.clock())
 	return ok && age <= time.Duration(w.KeyLeaseMS)*time.Millisecond
 }
 
-func (k keyCheck) Watch(ctx context.Context, h keys.Hash) (context.Context, context.CancelFunc) {
+func (k keyValidator) Watch(ctx context.Context, h keys.Hash) (context.Context, context.CancelFunc) {
 	return k.node.withdrawn.Watch(ctx, h)
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -10,13 +10,14 @@
 	statusv1 "github.com/cuminwing/cuminwing/proto/status/v1"
 )
 
-// MembersPath and TargetsPath list what this VM knows.
+// MembersPath and TargetsPath list the members and targets that this VM knows.
 const (
 	MembersPath = "/v1/members"
 	TargetsPath = "/v1/targets"
 )
 
-// startStatus serves the views of this VM to other VMs and operators' tools.
+// startStatus serves the status of this VM to other VMs and to operators'
+// tools.
 func (n *Node) startStatus() error {
 	status := statusv1.NewStatusServiceServer(statusServer{n})
 	n.peerMux.Handle(status.PathPrefix(), status)
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// statusServer implements the status service for one VM.
+// statusServer implements statusv1.StatusService for one VM.
 type statusServer struct{ node *Node }
 
 // Get implements statusv1.StatusService.
--- a/internal/daemon/streams_test.go
+++ b/internal/daemon/streams_test.go
@@ -11,8 +11,8 @@
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
-// Guards against lost, doubled or foreign tokens when an engine fails while it
-// answers: the caller must see the answer that a healthy engine gives.
+// Guards against lost, duplicated or foreign tokens when an engine fails during
+// a response: the caller must receive the answer that a healthy engine gives.
 func TestStreamsSurviveEngineFaults(t *testing.T) {
 	faults := map[string]standin.Faults{
 		"cut":            {CutAfter: 10, Requests: 1},
@@ -27,7 +27,7 @@
 		for _, http2 := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/http2=%t", name, http2), func(t *testing.T) {
 				t.Parallel()
-				// A VM of its own has a full budget of extra attempts.
+				// Each case has its own VM, whose retry budget is not yet used.
 				vm := startVM(t, "muc-a", testDocument())
 				engines := []*standin.Engine{startEngine(t, "e1", http2, vm), startEngine(t, "e2", http2, vm)}
 				want := ask(t, vm, "dossier", 40, nil)
@@ -35,7 +35,7 @@
 					e.SetFaults(fault)
 				}
 				got := ask(t, vm, "dossier", 40, nil)
-				if !want.whole() || !got.whole() || got.text != want.text {
+				if !want.complete() || !got.complete() || got.text != want.text {
 					t.Errorf("got %+v, without a fault %+v", got, want)
 				}
 			})
@@ -43,14 +43,14 @@
 	}
 }
 
-// Guards against doubled or missing tokens when the next engine starts at
-// another offset than it was asked for.
+// Guards against duplicated or missing tokens when the next engine resumes at a
+// different offset than requested.
 func TestResumeAtAnotherOffset(t *testing.T) {
 	vm := startVM(t, "muc-a", testDocument())
 	engine := startEngine(t, "e1", false, vm)
 	want := ask(t, vm, "dossier", 40, nil)
 	engine.SetFaults(standin.Faults{CutAfter: 30, Repeat: 5})
-	if got := ask(t, vm, "dossier", 40, nil); !got.whole() || got.text != want.text {
+	if got := ask(t, vm, "dossier", 40, nil); !got.complete() || got.text != want.text {
 		t.Errorf("repeated tokens: got %+v, want %q", got, want.text)
 	}
 	engine.SetFaults(standin.Faults{CutAfter: 30, Skip: 1})
@@ -61,7 +61,7 @@
 }
 
 // Guards against streams and new requests that hang on connections whose state
-// a device on the way has lost.
+// a middlebox has dropped.
 func TestSilentConnections(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		t.Run(fmt.Sprintf("http2=%t", http2), func(t *testing.T) {
@@ -70,14 +70,14 @@
 			want := ask(t, vm, "dossier", 200, nil)
 			got := ask(t, vm, "dossier", 200, func(n int) {
 				if n == 20 && engine.Silence() == 0 {
-					t.Error("no connection was open")
+					t.Error("no connection to the engine was open")
 				}
 			})
-			if !got.whole() || got.text != want.text {
-				t.Errorf("running stream: %d done, %q, text equal: %t", got.done, got.failed, got.text == want.text)
+			if !got.complete() || got.text != want.text {
+				t.Errorf("stream in flight: %d end markers, error %q, text equal: %t", got.done, got.failed, got.text == want.text)
 			}
 			started := engine.Started()
-			if got := ask(t, vm, "another", 20, nil); !got.whole() || engine.Started() != started+1 {
+			if got := ask(t, vm, "another", 20, nil); !got.complete() || engine.Started() != started+1 {
 				t.Errorf("new request: %+v after %d attempts", got, engine.Started()-started)
 			}
 			await(t, "end of the silent request", func() bool { return engine.Running() == 0 })
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against refusals that say not-run although an engine began, and
-// against streams without an end that look whole.
+// Guards against refusals marked as not-run although an engine has started, and
+// against streams that end early but look complete.
 func TestRunStateOfRefusals(t *testing.T) {
 	document := testDocument()
 	grade := document.Routes["grade"]
@@ -115,7 +115,7 @@
 	}
 	engine.SetFaults(standin.Faults{CutAfter: 5})
 	if got := ask(t, vm, "dossier", 20, nil); got.done != 0 || got.failed != "target_failed" {
-		t.Errorf("cut stream: %+v", got)
+		t.Errorf("truncated stream: %+v", got)
 	}
 	engine.Close()
 	if got := ask(t, vm, "dossier", 20, nil); got.header.Get("Cuminwing-Run") != "not-run" {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Guards against streams that outlive a withdrawn key.
+// Guards against streams that continue after their key is withdrawn.
 func TestWithdrawnKeyEndsStream(t *testing.T) {
 	vm := startVM(t, "muc-a", testDocument())
 	engine := startEngine(t, "e1", false, vm)
@@ -133,12 +133,12 @@
 		}
 	})
 	if got.done != 0 || got.failed != "key_withdrawn" {
-		t.Errorf("got %d done and error %q", got.done, got.failed)
+		t.Errorf("got %d end markers and error %q", got.done, got.failed)
 	}
-	await(t, "end of the engine's work", func() bool { return engine.Running() == 0 })
+	await(t, "engine is idle", func() bool { return engine.Running() == 0 })
 }
 
-// Guards against engines that go on working for callers that are gone.
+// Guards against engines that keep working after the caller has disconnected.
 func TestCallerGoneCancelsEngine(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		vm := startVM(t, "muc-a", testDocument())
@@ -153,14 +153,15 @@
 	}
 }
 
-// Guards against callers that give up on a connection with nothing on it.
+// Guards against callers that time out on an idle connection while their
+// request waits.
 func TestWaitingCallersGetHeartbeats(t *testing.T) {
 	document := testDocument()
 	document.Limits.HeartbeatMS = 20
 	vm := startVM(t, "muc-a", document)
 	engine := startEngine(t, "e1", false, vm)
 	engine.SetFaults(standin.Faults{StallAfter: 1, Requests: 1})
-	if got := ask(t, vm, "dossier", 10, nil); !got.whole() || !strings.Contains(got.body, ": waiting") {
+	if got := ask(t, vm, "dossier", 10, nil); !got.complete() || !strings.Contains(got.body, ": waiting") {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -175,7 +176,7 @@
 	engine := startEngine(t, "e1", false, vm)
 	got := ask(t, vm, "dossier", 100000, nil)
 	if got.done != 0 || got.failed != "deadline_exceeded" && got.status != http.StatusGatewayTimeout {
-		t.Errorf("got %d done, status %d and error %q", got.done, got.status, got.failed)
+		t.Errorf("got %d end markers, status %d and error %q", got.done, got.status, got.failed)
 	}
-	await(t, "end of the engine's work", func() bool { return engine.Running() == 0 })
+	await(t, "engine is idle", func() bool { return engine.Running() == 0 })
 }
--- a/internal/daemon/targets.go
+++ b/internal/daemon/targets.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// forgetTargetAfter is how long a silent target stays listed.
-	forgetTargetAfter = time.Minute
-	expireInterval    = 500 * time.Millisecond
+	// targetRetention is how long a target stays listed after it was last heard
+	// from.
+	targetRetention = time.Minute
+	expireInterval  = 500 * time.Millisecond
 )
 
-// startTargets receives announcements of targets.
+// startTargets starts the listener for announcements of targets.
 func (n *Node) startTargets() error {
 	server := &http.Server{
 		Handler:           targethttp.AnnounceHandler(n.acceptAnnouncement),
 		ReadHeaderTimeout: peerReadHeaderTimeout,
 	}
-	n.duty(func(ctx context.Context) {
-		every(ctx, expireInterval, func() { n.registry.Expire(n.clock(), forgetTargetAfter) })
+	n.background(func(ctx context.Context) {
+		every(ctx, expireInterval, func() { n.registry.Expire(n.clock(), targetRetention) })
 	})
 	return n.listen(n.settings.TargetAddress, server)
 }
@@ -36,7 +37,7 @@
 	switch change {
 	case target.Joined, target.Replaced, target.Left, target.Redescribed:
 		if !membership.Fits(a) {
-			n.logger.Error("announcement is too long to reach other VMs", zap.String("target", a.ID), zap.Int("adapters", len(a.Adapters)))
+			n.logger.Error("target announcement does not fit in a gossip packet; other VMs do not receive it", zap.String("target", a.ID), zap.Int("adapters", len(a.Adapters)))
 		}
 		n.logger.Info("target changed", zap.String("target", a.ID), zap.Uint64("incarnation", a.Incarnation), zap.Stringer("change", change))
 	}
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// usageTimeout bounds one try to send a batch.
-	usageTimeout = 2 * time.Second
-	// usageLastTimeout bounds the last batches of a VM that shuts down.
-	usageLastTimeout = 5 * time.Second
+	// usageFlushTimeout limits one attempt to send a batch.
+	usageFlushTimeout = 2 * time.Second
+	// usageFinalFlushTimeout limits sending the last batches during a shutdown.
+	usageFinalFlushTimeout = 5 * time.Second
 )
 
-// startUsage bills requests through the control log.
+// startUsage registers usage accounting as a replicated part and serves usage
+// reports.
 func (n *Node) startUsage() error {
 	n.parts[control.KindUsage] = usage.NewPart()
 	n.ledger = usage.NewLedger(n.settings.VM, n.incarnation, n.clock)
@@ -30,15 +31,16 @@
 	return nil
 }
 
-// startUsageFlush sends batches; it runs once the control log is open.
+// startUsageFlush sends usage batches periodically. It must run after
+// startControlLog.
 func (n *Node) startUsageFlush() error {
 	failing := false
-	n.duty(func(ctx context.Context) {
+	n.background(func(ctx context.Context) {
 		every(ctx, usage.FlushInterval, func() {
-			err := n.flushUsage(ctx, usageTimeout)
+			err := n.flushUsage(ctx, usageFlushTimeout)
 			if (err != nil) != failing {
 				failing = err != nil
-				n.logger.Info("sending of usage batches changed", zap.Bool("failing", failing), zap.Error(err))
+				n.logger.Info("usage flush changed state", zap.Bool("failing", failing), zap.Error(err))
 			}
 		})
 	})
@@ -51,16 +53,16 @@
 	return n.ledger.Flush(ctx, n.log)
 }
 
-// flushLastUsage sends what is left before a shutdown.
-func (n *Node) flushLastUsage() {
-	deadline := time.Now().Add(usageLastTimeout)
-	err := n.flushUsage(n.ctx, usageLastTimeout)
+// flushFinalUsage sends the remaining usage before a shutdown.
+func (n *Node) flushFinalUsage() {
+	deadline := time.Now().Add(usageFinalFlushTimeout)
+	err := n.flushUsage(n.ctx, usageFinalFlushTimeout)
 	for err != nil && time.Now().Before(deadline) {
-		time.Sleep(drainPoll)
+		time.Sleep(pollInterval)
 		err = n.flushUsage(n.ctx, time.Until(deadline))
 	}
 	if err != nil {
-		n.logger.Error("usage was not acknowledged before the shutdown", zap.Error(err))
+		n.logger.Error("control log did not acknowledge the remaining usage before the shutdown", zap.Error(err))
 	}
 }
 
