--- a/internal/daemon/withdrawals.go
+++ b/internal/daemon/withdrawals.go
@@ -21,42 +21,43 @@
 
 const (
 	keysFile = "withdrawn-keys.state"
-	// pushTimeout bounds the wait for confirmations of a withdrawal.
+	// pushTimeout limits the wait for confirmations of a withdrawal or of a
+	// drain decision.
 	pushTimeout = 2 * time.Second
-	// keySyncInterval is how often the digests of the members are compared.
+	// keySyncInterval is how often the key digests of the members are compared.
 	keySyncInterval = time.Second
-	// keySyncPeers bounds the syncs of one round: digests in member messages
-	// lag behind, so that most differences after a push are not real.
-	keySyncPeers = 3
-	// proposeKeysInterval is how often withdrawals are proposed again until
-	// the log has committed them.
-	proposeKeysInterval = time.Second
-	// voterProposeRounds is how many rounds a voter leaves a withdrawal to the
-	// VM that accepted it.
-	voterProposeRounds = 2
+	// maxKeySyncsPerRound limits the syncs of one round. Digests in membership
+	// messages lag behind, so most differences right after a push are not real.
+	maxKeySyncsPerRound = 3
+	// reproposeInterval is how often uncommitted withdrawals are proposed again.
+	reproposeInterval = time.Second
+	// voterProposeDelayRounds is how many rounds a voter waits for the VM that
+	// accepted a withdrawal to propose it before the voter proposes it itself.
+	voterProposeDelayRounds = 2
 )
 
-// withdrawals spreads withdrawn keys. The set itself is Node.withdrawn.
+// withdrawals distributes withdrawn keys. The set itself is Node.withdrawn.
 type withdrawals struct {
 	node *Node
 	part *keyset.Part
 
-	// file guards the file of the data folder.
-	file  sync.Mutex
-	saved uint64
+	// fileMu guards the state file and saved, the digest of its contents.
+	fileMu sync.Mutex
+	saved  uint64
 
 	mu sync.Mutex
 	// pending holds the withdrawals that this VM accepted and that are not
 	// committed yet.
 	pending map[keys.Hash]struct{}
-	// seen counts the rounds in which this voter saw a key uncommitted.
-	seen map[keys.Hash]int
+	// uncommittedRounds counts the rounds in which this voter found a key
+	// uncommitted.
+	uncommittedRounds map[keys.Hash]int
 }
 
-// startWithdrawals registers the replicated part and loads the keys that the
-// data folder holds.
+// startWithdrawals registers withdrawn keys as a replicated part and loads
+// those stored in the data folder.
 func (n *Node) startWithdrawals() error {
-	w := &withdrawals{node: n, pending: make(map[keys.Hash]struct{}), seen: make(map[keys.Hash]int)}
+	w := &withdrawals{node: n, pending: make(map[keys.Hash]struct{}), uncommittedRounds: make(map[keys.Hash]int)}
 	w.part = keyset.NewPart(func(h []keys.Hash) { n.withdrawn.Add(h...) })
 	n.parts[control.KindKeys] = w.part
 	n.withdrawals = w
@@ -65,20 +66,21 @@
 	return w.load()
 }
 
-// startKeyDuties starts the anti-entropy of withdrawn keys.
-func (n *Node) startKeyDuties() error {
+// startKeySync starts the anti-entropy of withdrawn keys.
+func (n *Node) startKeySync() error {
 	w := n.withdrawals
-	n.duty(func(ctx context.Context) {
+	n.background(func(ctx context.Context) {
 		every(ctx, keySyncInterval, func() { w.syncMembers(ctx) })
 	})
-	n.duty(func(ctx context.Context) {
-		every(ctx, proposeKeysInterval, func() { w.proposeAgain(ctx) })
+	n.background(func(ctx context.Context) {
+		every(ctx, reproposeInterval, func() { w.reproposeUncommitted(ctx) })
 	})
 	return nil
 }
 
-// load reads the keys of the data folder. Unlike a configuration, a refused
-// file stops the start: serving without it could accept a withdrawn key.
+// load reads the stored keys from the data folder. Unlike for a configuration,
+// an unreadable file prevents the start: a VM that serves without it could
+// accept a withdrawn key.
 func (w *withdrawals) load() error {
 	if w.node.settings.DataFolder == "" {
 		return nil
@@ -103,7 +105,7 @@
 	return filepath.Join(w.node.settings.DataFolder, keysFile)
 }
 
-// add withdraws keys here at once and keeps them in the data folder.
+// add withdraws keys on this VM immediately and stores them in the data folder.
 func (w *withdrawals) add(hashes []keys.Hash) error {
 	if added := w.node.withdrawn.Add(hashes...); len(added) > 0 {
 		w.node.logger.Info("keys withdrawn", zap.Int("count", len(added)))
@@ -116,23 +118,23 @@
 	if w.node.settings.DataFolder == "" {
 		return nil
 	}
-	w.file.Lock()
-	defer w.file.Unlock()
+	w.fileMu.Lock()
+	defer w.fileMu.Unlock()
 	digest := w.node.withdrawn.Digest()
 	if digest == w.saved {
 		return nil
 	}
 	if err := statefile.Write(w.path(), keyset.EncodeWithdrawal(w.node.withdrawn.All())); err != nil {
-		w.node.logger.Error("withdrawn keys not written", zap.Error(err))
+		w.node.logger.Error("failed to write the withdrawn keys file", zap.Error(err))
 		return err
 	}
 	w.saved = digest
 	return nil
 }
 
-// withdraw puts a withdrawal in force here, pushes it to all known VMs and
-// proposes it to the log. It answers after a bounded time; what is not
-// confirmed by then goes on in the background.
+// withdraw applies a withdrawal on this VM, pushes it to all known VMs and
+// proposes it to the log. It returns after a limited time; confirmations that
+// are still missing then continue in the background.
 func (w *withdrawals) withdraw(ctx context.Context, hashes []keys.Hash) *adminv1.WithdrawKeysResponse {
 	saved := w.add(hashes) == nil
 	w.mu.Lock()
@@ -153,7 +155,7 @@
 
 func (w *withdrawals) push(ctx context.Context, self bool, hashes []keys.Hash) []*adminv1.ZoneReach {
 	request := &keysv1.PushRequest{Hashes: keyset.ToBytes(hashes)}
-	return w.node.poll(ctx, self, func(ctx context.Context, p peer) (string, bool) {
+	return w.node.pollPeers(ctx, self, func(ctx context.Context, p peer) (string, bool) {
 		answer, err := w.client(p).Push(ctx, request)
 		if err != nil {
 			w.node.logger.Debug("push of withdrawn keys failed", zap.String("vm", p.vm), zap.Error(err))
@@ -175,15 +177,17 @@
 	defer w.mu.Unlock()
 	for _, h := range hashes {
 		delete(w.pending, h)
-		delete(w.seen, h)
+		delete(w.uncommittedRounds, h)
 	}
 	return true
 }
 
-// proposeAgain proposes what is not committed yet. Voters also propose what
-// they only heard of, because the VM that accepted it may be gone.
-func (w *withdrawals) proposeAgain(ctx context.Context) {
-	// Keys may also have come from the log, which does not wait for the file.
+// reproposeUncommitted proposes withdrawals that are not committed yet. Voters
+// also propose those that they received from other VMs, because the VM that
+// accepted them may have failed.
+func (w *withdrawals) reproposeUncommitted(ctx context.Context) {
+	// The set may also contain keys from the log, which are applied without
+	// waiting for the file to be written.
 	_ = w.save()
 	due := w.uncommitted()
 	if len(due) > 0 {
@@ -191,6 +195,7 @@
 	}
 }
 
+// uncommitted returns the withdrawals that this VM must propose in this round.
 func (w *withdrawals) uncommitted() []keys.Hash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,26 +208,27 @@
 	}
 	for _, h := range w.node.withdrawn.All() {
 		if w.part.Contains(h) {
-			delete(w.seen, h)
+			delete(w.uncommittedRounds, h)
 			continue
 		}
 		if _, own := w.pending[h]; own {
 			continue
 		}
-		w.seen[h]++
-		if w.seen[h] > voterProposeRounds {
+		w.uncommittedRounds[h]++
+		if w.uncommittedRounds[h] > voterProposeDelayRounds {
 			due = append(due, h)
 		}
 	}
 	return due
 }
 
-// syncMembers compares the set with members whose digest differs.
+// syncMembers synchronizes the set with members whose digest differs, up to
+// maxKeySyncsPerRound of them.
 func (w *withdrawals) syncMembers(ctx context.Context) {
 	own := w.node.withdrawn.Digest()
 	synced := 0
 	for _, m := range w.node.members() {
-		if m.VM == w.node.settings.VM || m.KeyDigest == own || synced == keySyncPeers {
+		if m.VM == w.node.settings.VM || m.KeyDigest == own || synced == maxKeySyncsPerRound {
 			continue
 		}
 		synced++
@@ -256,7 +262,7 @@
 	return err
 }
 
-// missingFrom returns the keys of ours that are not among theirs.
+// missingFrom returns the keys of ours that theirs does not contain.
 func missingFrom(theirs, ours []keys.Hash) []keys.Hash {
 	known := make(map[keys.Hash]bool, len(theirs))
 	for _, h := range theirs {
@@ -274,8 +280,8 @@
 // keyServer implements keysv1.KeyService.
 type keyServer struct{ w *withdrawals }
 
-// Push implements keysv1.KeyService. The answer confirms that the keys no
-// longer work here, also after a restart with the data folder.
+// Push implements keysv1.KeyService. The response confirms that this VM rejects
+// the keys, also after a restart with the data folder.
 func (s keyServer) Push(_ context.Context, req *keysv1.PushRequest) (*keysv1.PushResponse, error) {
 	hashes, err := keyset.FromBytes(req.GetHashes())
 	if err != nil {
