--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -169,7 +169,7 @@
 		ListenPacket: func(address string) (net.PacketConn, error) { return c.listenPacket(s.VM, address) },
 	}
 	if c.log != nil {
-		options.Log = func(parts map[control.Kind]control.Part) control.Log {
+		options.NewLog = func(parts map[control.Kind]control.Part) control.Log {
 			return c.log.attach(s.VM, s.Voter(), parts)
 		}
 	}
--- a/internal/daemon/controllog.go
+++ b/internal/daemon/controllog.go
@@ -19,8 +19,8 @@
 // which may become a voter, runs a replica; all other VMs forward to the
 // voters. Steps that register replicated parts must run before this one.
 func (n *Node) startControlLog() error {
-	if n.options.Log != nil {
-		n.log = n.options.Log(n.parts)
+	if n.options.NewLog != nil {
+		n.log = n.options.NewLog(n.parts)
 		return nil
 	}
 	log := &replica.Log{
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -46,8 +46,8 @@
 	// LeastOutstanding replaces prefix-aware routing with least-outstanding
 	// routing, the baseline in benchmarks.
 	LeastOutstanding bool
-	// Log replaces the control log. It receives the replicated parts of the VM.
-	Log func(parts map[control.Kind]control.Part) control.Log
+	// NewLog replaces the control log. It receives the replicated parts of the VM.
+	NewLog func(parts map[control.Kind]control.Part) control.Log
 }
 
 // Node is a running VM.
