--- a/internal/adapter/callerhttp/whole.go
+++ b/internal/adapter/callerhttp/aggregate.go
@@ -12,36 +12,37 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// maxWholeAnswer bounds the memory of an answer that is sent whole.
-const maxWholeAnswer = 8 << 20
+// maxAggregateBytes limits the memory that one non-streaming response takes
+// while it is assembled.
+const maxAggregateBytes = 8 << 20
 
-var errAnswerTooLarge = refuse(http.StatusBadGateway, "answer_too_large", "the answer is too large to be sent whole; ask for a stream")
+var errResponseTooLarge = newRefusal(http.StatusBadGateway, "answer_too_large", "the answer is too large to be sent whole; ask for a stream")
 
-type fields = map[string]json.RawMessage
+type jsonObject = map[string]json.RawMessage
 
-// wholeSink assembles one answer from the events of a stream. Fields that it
-// does not know are kept.
-type wholeSink struct {
-	call    *serving.Call
-	size    int
-	tokens  int
-	top     fields
-	choices []*wholeChoice
-	usage   json.RawMessage
-	stored  *serving.StoredAnswer
+// aggregateSink assembles a non-streaming response from the events of a stream.
+// It preserves fields that it does not know.
+type aggregateSink struct {
+	call          *serving.Call
+	receivedBytes int
+	tokens        int
+	topLevel      jsonObject
+	choices       []*partialChoice
+	usage         json.RawMessage
+	replayed      *serving.StoredAnswer
 }
 
-// wholeChoice is one answer under construction.
-type wholeChoice struct {
-	index   int
-	extra   fields
-	message fields
-	text    map[string][]byte
-	tools   []*wholeTool
+// partialChoice is one choice of the response while it is being assembled.
+type partialChoice struct {
+	index       int
+	otherFields jsonObject
+	message     jsonObject
+	text        map[string][]byte
+	toolCalls   []*partialToolCall
 }
 
-// wholeTool is one tool call under construction.
-type wholeTool struct {
+// partialToolCall is one tool call of a choice while it is being assembled.
+type partialToolCall struct {
 	Index     int    `json:"-"`
 	ID        string `json:"id"`
 	Type      string `json:"type"`
@@ -50,35 +51,35 @@
 }
 
 // Chunk implements serving.Sink.
-func (s *wholeSink) Chunk(c serving.Chunk) error {
+func (s *aggregateSink) Chunk(c serving.Chunk) error {
 	if c.Done {
 		return nil
 	}
-	s.size += len(c.Data)
-	if s.size > maxWholeAnswer {
-		return errAnswerTooLarge
+	s.receivedBytes += len(c.Data)
+	if s.receivedBytes > maxAggregateBytes {
+		return errResponseTooLarge
 	}
 	s.tokens += c.Tokens
-	var event fields
+	var event jsonObject
 	if err := json.Unmarshal(c.Data, &event); err != nil {
 		return err
 	}
-	return s.merge(event)
+	return s.mergeEvent(event)
 }
 
-func (s *wholeSink) merge(event fields) error {
-	if s.top == nil {
-		s.top = make(fields)
+func (s *aggregateSink) mergeEvent(event jsonObject) error {
+	if s.topLevel == nil {
+		s.topLevel = make(jsonObject)
 	}
 	for name, value := range event {
 		switch {
 		case name == "usage" && !isNull(value):
 			s.usage = value
 		case name != "choices" && name != "usage":
-			s.top[name] = value
+			s.topLevel[name] = value
 		}
 	}
-	var choices []fields
+	var choices []jsonObject
 	if raw, ok := event["choices"]; ok {
 		if err := json.Unmarshal(raw, &choices); err != nil {
 			return err
@@ -92,25 +93,25 @@
 	return nil
 }
 
-func (s *wholeSink) choice(index int) *wholeChoice {
+func (s *aggregateSink) choiceAt(index int) *partialChoice {
 	for _, c := range s.choices {
 		if c.index == index {
 			return c
 		}
 	}
-	c := &wholeChoice{index: index, extra: make(fields), message: make(fields), text: make(map[string][]byte)}
+	c := &partialChoice{index: index, otherFields: make(jsonObject), message: make(jsonObject), text: make(map[string][]byte)}
 	s.choices = append(s.choices, c)
 	return c
 }
 
-func (s *wholeSink) mergeChoice(in fields) error {
+func (s *aggregateSink) mergeChoice(in jsonObject) error {
 	var index int
 	if raw, ok := in["index"]; ok {
 		if err := json.Unmarshal(raw, &index); err != nil {
 			return err
 		}
 	}
-	c := s.choice(index)
+	c := s.choiceAt(index)
 	for name, value := range in {
 		if err := c.mergeField(name, value); err != nil {
 			return err
@@ -119,7 +120,7 @@
 	return nil
 }
 
-func (c *wholeChoice) mergeField(name string, value json.RawMessage) error {
+func (c *partialChoice) mergeField(name string, value json.RawMessage) error {
 	switch name {
 	case "index":
 		return nil
@@ -130,14 +131,14 @@
 	case "logprobs":
 		return c.mergeLogprobs(value)
 	}
-	if _, known := c.extra[name]; !known || !isNull(value) {
-		c.extra[name] = value
+	if _, known := c.otherFields[name]; !known || !isNull(value) {
+		c.otherFields[name] = value
 	}
 	return nil
 }
 
-func (c *wholeChoice) mergeDelta(raw json.RawMessage) error {
-	var delta fields
+func (c *partialChoice) mergeDelta(raw json.RawMessage) error {
+	var delta jsonObject
 	if err := json.Unmarshal(raw, &delta); err != nil {
 		return err
 	}
@@ -148,7 +149,7 @@
 		case name == "content" || name == "refusal" || name == "reasoning_content":
 			err = c.addText(name, value)
 		case name == "tool_calls":
-			err = c.mergeTools(value)
+			err = c.mergeToolCalls(value)
 		default:
 			c.message[name] = value
 		}
@@ -159,7 +160,7 @@
 	return nil
 }
 
-func (c *wholeChoice) addText(name string, value json.RawMessage) error {
+func (c *partialChoice) addText(name string, value json.RawMessage) error {
 	var text string
 	if err := json.Unmarshal(value, &text); err != nil {
 		return err
@@ -168,7 +169,7 @@
 	return nil
 }
 
-func (c *wholeChoice) mergeTools(raw json.RawMessage) error {
+func (c *partialChoice) mergeToolCalls(raw json.RawMessage) error {
 	var parts []struct {
 		Index    int    `json:"index"`
 		ID       string `json:"id"`
@@ -182,7 +183,7 @@
 		return err
 	}
 	for _, p := range parts {
-		t := c.tool(p.Index)
+		t := c.toolCallAt(p.Index)
 		if p.ID != "" {
 			t.ID = p.ID
 		}
@@ -195,20 +196,20 @@
 	return nil
 }
 
-func (c *wholeChoice) tool(index int) *wholeTool {
-	for _, t := range c.tools {
+func (c *partialChoice) toolCallAt(index int) *partialToolCall {
+	for _, t := range c.toolCalls {
 		if t.Index == index {
 			return t
 		}
 	}
-	t := &wholeTool{Index: index, Type: "function"}
-	c.tools = append(c.tools, t)
+	t := &partialToolCall{Index: index, Type: "function"}
+	c.toolCalls = append(c.toolCalls, t)
 	return t
 }
 
-// mergeLogprobs joins the lists of the chat form. The other form is kept from
-// the last event that has it.
-func (c *wholeChoice) mergeLogprobs(value json.RawMessage) error {
+// mergeLogprobs concatenates the content lists of the chat completion format.
+// In any other format, it keeps the value of the last event that has one.
+func (c *partialChoice) mergeLogprobs(value json.RawMessage) error {
 	if isNull(value) {
 		return nil
 	}
@@ -216,27 +217,27 @@
 		Content []json.RawMessage `json:"content"`
 	}
 	if json.Unmarshal(value, &in) != nil || in.Content == nil {
-		c.extra["logprobs"] = value
+		c.otherFields["logprobs"] = value
 		return nil
 	}
-	if old, ok := c.extra["logprobs"]; ok {
+	if old, ok := c.otherFields["logprobs"]; ok {
 		_ = json.Unmarshal(old, &have)
 	}
 	have.Content = append(have.Content, in.Content...)
 	joined, err := json.Marshal(have)
-	c.extra["logprobs"] = joined
+	c.otherFields["logprobs"] = joined
 	return err
 }
 
 // Restart implements serving.Sink.
-func (s *wholeSink) Restart() bool {
-	*s = wholeSink{call: s.call}
+func (s *aggregateSink) Restart() bool {
+	*s = aggregateSink{call: s.call}
 	return true
 }
 
 // Stored implements serving.Sink.
-func (s *wholeSink) Stored() serving.StoredAnswer {
-	body, err := s.answer()
+func (s *aggregateSink) Stored() serving.StoredAnswer {
+	body, err := s.assemble()
 	if err != nil {
 		return serving.StoredAnswer{Status: http.StatusBadGateway}
 	}
@@ -244,18 +245,18 @@
 }
 
 // Replay implements serving.Sink.
-func (s *wholeSink) Replay(answer serving.StoredAnswer) { s.stored = &answer }
+func (s *aggregateSink) Replay(stored serving.StoredAnswer) { s.replayed = &stored }
 
-func (s *wholeSink) answer() ([]byte, error) {
-	if s.top == nil {
-		return nil, errors.New("the target sent no event")
+func (s *aggregateSink) assemble() ([]byte, error) {
+	if s.topLevel == nil {
+		return nil, errors.New("the target sent no completion event")
 	}
 	chat := s.call.Path == "/v1/chat/completions"
-	s.top["object"] = json.RawMessage(`"text_completion"`)
+	s.topLevel["object"] = json.RawMessage(`"text_completion"`)
 	if chat {
-		s.top["object"] = json.RawMessage(`"chat.completion"`)
+		s.topLevel["object"] = json.RawMessage(`"chat.completion"`)
 	}
-	slices.SortFunc(s.choices, func(a, b *wholeChoice) int { return a.index - b.index })
+	slices.SortFunc(s.choices, func(a, b *partialChoice) int { return a.index - b.index })
 	list := make([]map[string]any, len(s.choices))
 	for i, c := range s.choices {
 		list[i] = c.encode(chat)
@@ -264,13 +265,15 @@
 	if err != nil {
 		return nil, err
 	}
-	s.top["choices"] = choices
-	s.top["usage"] = s.usageOrCount()
-	return json.Marshal(s.top)
+	s.topLevel["choices"] = choices
+	s.topLevel["usage"] = s.usageOrEstimate()
+	return json.Marshal(s.topLevel)
 }
 
-// usageOrCount prefers the engine's count.
-func (s *wholeSink) usageOrCount() json.RawMessage {
+// usageOrEstimate returns the token usage reported by the engine, or, if there
+// is none, one computed from the estimated prompt tokens and the tokens counted
+// in the stream.
+func (s *aggregateSink) usageOrEstimate() json.RawMessage {
 	if s.usage != nil {
 		return s.usage
 	}
@@ -283,9 +286,9 @@
 	return counted
 }
 
-func (c *wholeChoice) encode(chat bool) map[string]any {
+func (c *partialChoice) encode(chat bool) map[string]any {
 	out := map[string]any{"index": c.index, "logprobs": nil}
-	for name, value := range c.extra {
+	for name, value := range c.otherFields {
 		out[name] = value
 	}
 	if !chat {
@@ -299,17 +302,17 @@
 	for name, text := range c.text {
 		message[name] = string(text)
 	}
-	if len(c.tools) > 0 {
-		message["tool_calls"] = c.encodeTools()
+	if len(c.toolCalls) > 0 {
+		message["tool_calls"] = c.encodeToolCalls()
 	}
 	out["message"] = message
 	return out
 }
 
-func (c *wholeChoice) encodeTools() []map[string]any {
-	slices.SortFunc(c.tools, func(a, b *wholeTool) int { return a.Index - b.Index })
-	out := make([]map[string]any, len(c.tools))
-	for i, t := range c.tools {
+func (c *partialChoice) encodeToolCalls() []map[string]any {
+	slices.SortFunc(c.toolCalls, func(a, b *partialToolCall) int { return a.Index - b.Index })
+	out := make([]map[string]any, len(c.toolCalls))
+	for i, t := range c.toolCalls {
 		out[i] = map[string]any{
 			"id":       t.ID,
 			"type":     t.Type,
@@ -319,18 +322,18 @@
 	return out
 }
 
-func (s *Server) serveWhole(ctx context.Context, w http.ResponseWriter, call *serving.Call) {
-	sink := &wholeSink{call: call}
+func (s *Server) serveNonStreaming(ctx context.Context, w http.ResponseWriter, call *serving.Call) {
+	sink := &aggregateSink{call: call}
 	outcome := s.Serving.Complete(ctx, call, sink)
 	if outcome.Refusal != nil {
 		writeRefusal(w, outcome.Refusal)
 		return
 	}
-	if sink.stored != nil {
-		writeStored(w, *sink.stored)
+	if sink.replayed != nil {
+		writeStoredResponse(w, *sink.replayed)
 		return
 	}
-	body, err := sink.answer()
+	body, err := sink.assemble()
 	if err != nil {
 		writeRefusal(w, &serving.Refusal{Status: http.StatusBadGateway, Code: "bad_answer", Message: "the target's answer could not be read", Run: serving.Ran})
 		return
--- a/internal/adapter/callerhttp/whole_test.go
+++ b/internal/adapter/callerhttp/aggregate_test.go
@@ -9,10 +9,10 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// Guards against whole answers that lose tool calls, choices, log
-// probabilities or token counts.
+// Guards against non-streaming responses that lose tool calls, choices, log
+// probabilities or token counts while they are assembled from events.
 func TestWholeAnswerKeepsEverything(t *testing.T) {
-	sink := &wholeSink{call: &serving.Call{Path: "/v1/chat/completions"}}
+	sink := &aggregateSink{call: &serving.Call{Path: "/v1/chat/completions"}}
 	for _, data := range []string{
 		`{"id":"x","object":"chat.completion.chunk","created":5,"model":"m","system_fingerprint":"fp","choices":[{"index":0,"delta":{"role":"assistant","content":""}}]}`,
 		`{"choices":[{"index":0,"delta":{"content":"a"},"logprobs":{"content":[{"token":"a"}]}},{"index":1,"delta":{"content":"c"}}],"usage":null}`,
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 	}
-	body, err := sink.answer()
+	body, err := sink.assemble()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,8 @@
 	}
 }
 
-// Guards against options of the caller that are lost on the way to the engine.
+// Guards against options in the caller's request that are dropped when the
+// request body is rewritten for the engine.
 func TestEngineBodyKeepsOptions(t *testing.T) {
 	body, err := engineBody([]byte(`{"model":"m","stream":false,"temperature":0.5,"stream_options":{"include_obfuscation":false},"tools":[{"type":"function"}]}`))
 	var got map[string]any
@@ -56,29 +57,30 @@
 	}
 }
 
-// Guards against panics and invalid answers on what callers and engines send.
+// Guards against panics and invalid JSON output on arbitrary data from callers
+// and engines.
 func FuzzBodies(f *testing.F) {
 	f.Add([]byte(`{"model":"m","n":2,"prompt":["a","b"],"stream_options":{}}`))
 	f.Add([]byte(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]}`))
 	snap := config.NewSnapshot(config.Document{}, 1)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if out, err := engineBody(data); err == nil && !json.Valid(out) {
-			t.Fatalf("invalid body %s", out)
+			t.Fatalf("engineBody returned invalid JSON: %s", out)
 		}
 		var req completionRequest
 		if json.Unmarshal(data, &req) == nil {
-			_ = choices(req)
+			_ = choiceCount(req)
 		}
-		sink := &wholeSink{call: &serving.Call{}}
+		sink := &aggregateSink{call: &serving.Call{}}
 		if sink.Chunk(serving.Chunk{Data: data}) == nil {
-			if out, err := sink.answer(); err == nil && !json.Valid(out) {
-				t.Fatalf("invalid answer %s", out)
+			if out, err := sink.assemble(); err == nil && !json.Valid(out) {
+				t.Fatalf("assembled response is invalid JSON: %s", out)
 			}
 		}
 		scrub := &scrubber{snap: snap, keys: []string{"secret-key"}}
-		if strings.Contains(scrub.query(string(data)), "secret-key") {
-			t.Fatalf("key left in %q", data)
+		if strings.Contains(scrub.scrubQuery(string(data)), "secret-key") {
+			t.Fatalf("scrubbed query of %q still contains the key", data)
 		}
-		_ = scrub.inBody(data)
+		_ = scrub.bodyContainsKey(data)
 	})
 }
--- a/internal/adapter/callerhttp/answer.go
+++ b/internal/adapter/callerhttp/answer.go
@@ -14,11 +14,12 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// writeTimeout bounds one write to a caller that does not read. Until then the
-// engine is held back by its connection, so that nothing piles up here.
+// writeTimeout limits one write to a caller that does not read. While the write
+// blocks, TCP flow control slows the engine down, so that no data accumulates
+// in this process.
 const writeTimeout = 10 * time.Second
 
-// apiError is the OpenAI error shape.
+// apiError is an error response in the OpenAI format.
 type apiError struct {
 	Error apiErrorBody `json:"error"`
 }
@@ -28,11 +29,12 @@
 	Type    string  `json:"type"`
 	Param   *string `json:"param"`
 	Code    string  `json:"code"`
-	// Run repeats the header, which a stream that has begun cannot send.
+	// Run repeats the Cuminwing-Run header, which cannot be sent once a stream
+	// has started.
 	Run serving.RunState `json:"run"`
 }
 
-func errorShape(r *serving.Refusal) apiError {
+func newAPIError(r *serving.Refusal) apiError {
 	kind := "invalid_request_error"
 	switch {
 	case r.Status == http.StatusTooManyRequests:
@@ -46,7 +48,7 @@
 }
 
 func writeRefusal(w http.ResponseWriter, r *serving.Refusal) {
-	w.Header().Set(HeaderRun, string(r.Run))
+	w.Header().Set(HeaderRunState, string(r.Run))
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(r.RetryAfter)))
 	}
@@ -58,38 +60,40 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(r.Status)
-	_ = json.NewEncoder(w).Encode(errorShape(r))
+	_ = json.NewEncoder(w).Encode(newAPIError(r))
 }
 
-// eventSink writes server-sent events. The response header is sent with the
-// first event, so that a refusal before it still has its own status. While
-// there are no events, comments show the caller that the connection lives.
+// eventSink writes server-sent events to a caller. It sends the response header
+// with the first event, so that an error before that can still set its own
+// status code. While no events arrive, it sends SSE comments as heartbeats to
+// show that the connection is alive.
 type eventSink struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// record is true if the events must be kept for resends.
+	// record is true if the events must be kept to answer resends of the
+	// request.
 	record bool
-	// patience bounds one write.
-	patience time.Duration
+	// writeTimeout limits one write.
+	writeTimeout time.Duration
 
-	mu       sync.Mutex
-	started  bool
-	passed   bool
-	ended    bool
-	buf      []byte
-	kept     []byte
-	interval time.Duration
-	beat     *time.Timer
-	last     time.Time
+	mu                sync.Mutex
+	headerWritten     bool
+	chunkSent         bool
+	closed            bool
+	buf               []byte
+	recorded          []byte
+	heartbeatInterval time.Duration
+	heartbeatTimer    *time.Timer
+	lastWrite         time.Time
 }
 
-var errEnded = errors.New("the stream has ended")
+var errSinkClosed = errors.New("event stream to the caller is closed")
 
-func newEventSink(w http.ResponseWriter, heartbeat time.Duration, record bool) *eventSink {
-	s := &eventSink{w: w, control: http.NewResponseController(w), record: record, patience: writeTimeout, interval: heartbeat, last: time.Now()}
+func newEventSink(w http.ResponseWriter, heartbeatInterval time.Duration, record bool) *eventSink {
+	s := &eventSink{w: w, control: http.NewResponseController(w), record: record, writeTimeout: writeTimeout, heartbeatInterval: heartbeatInterval, lastWrite: time.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beat = time.AfterFunc(heartbeat, s.heartbeat)
+	s.heartbeatTimer = time.AfterFunc(heartbeatInterval, s.sendHeartbeat)
 	return s
 }
 
@@ -97,124 +101,125 @@
 func (s *eventSink) Chunk(c serving.Chunk) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.passed = true
+	s.chunkSent = true
 	s.buf = append(s.buf[:0], "data: "...)
 	s.buf = append(s.buf, c.Data...)
 	s.buf = append(s.buf, "\n\n"...)
-	if s.record && len(s.kept) <= serving.MaxStoredAnswer {
-		s.kept = append(s.kept, s.buf...)
+	if s.record && len(s.recorded) <= serving.MaxStoredAnswer {
+		s.recorded = append(s.recorded, s.buf...)
 	}
 	return s.write(s.buf)
 }
 
-// write sends data at once. The lock must be held, because the heartbeat
-// writes too.
+// write sends data immediately. The caller must hold s.mu, because heartbeats
+// are written concurrently.
 func (s *eventSink) write(data []byte) error {
-	if s.ended {
-		return errEnded
+	if s.closed {
+		return errSinkClosed
 	}
-	s.start("text/event-stream")
-	s.last = time.Now()
-	_ = s.control.SetWriteDeadline(s.last.Add(s.patience))
+	s.writeHeader("text/event-stream")
+	s.lastWrite = time.Now()
+	_ = s.control.SetWriteDeadline(s.lastWrite.Add(s.writeTimeout))
 	if _, err := s.w.Write(data); err != nil {
 		return err
 	}
 	return s.control.Flush()
 }
 
-func (s *eventSink) start(contentType string) {
-	if s.started {
+func (s *eventSink) writeHeader(contentType string) {
+	if s.headerWritten {
 		return
 	}
-	s.started = true
+	s.headerWritten = true
 	s.w.Header().Set("Content-Type", contentType)
 	s.w.Header().Set("Cache-Control", "no-cache")
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *eventSink) heartbeat() {
+func (s *eventSink) sendHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.closed {
 		return
 	}
-	if time.Since(s.last) >= s.interval && s.write([]byte(": waiting\n\n")) != nil {
+	if time.Since(s.lastWrite) >= s.heartbeatInterval && s.write([]byte(": waiting\n\n")) != nil {
 		return
 	}
-	s.beat.Reset(s.interval)
+	s.heartbeatTimer.Reset(s.heartbeatInterval)
 }
 
-// end stops the heartbeat; nothing is written after it.
-func (s *eventSink) end() {
+// close stops the heartbeats and rejects all further writes.
+func (s *eventSink) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
-	s.beat.Stop()
+	s.closed = true
+	s.heartbeatTimer.Stop()
 }
 
 // Restart implements serving.Sink.
 func (s *eventSink) Restart() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.passed
+	return !s.chunkSent
 }
 
 // Stored implements serving.Sink.
 func (s *eventSink) Stored() serving.StoredAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	body := append(s.kept[:len(s.kept):len(s.kept)], "data: [DONE]\n\n"...)
+	body := append(s.recorded[:len(s.recorded):len(s.recorded)], "data: [DONE]\n\n"...)
 	return serving.StoredAnswer{Status: http.StatusOK, ContentType: "text/event-stream", Body: body}
 }
 
 // Replay implements serving.Sink.
-func (s *eventSink) Replay(answer serving.StoredAnswer) {
+func (s *eventSink) Replay(stored serving.StoredAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.started {
-		s.started = true
-		writeStored(s.w, answer)
+	if !s.headerWritten {
+		s.headerWritten = true
+		writeStoredResponse(s.w, stored)
 		return
 	}
-	// A heartbeat has begun the stream, so that only its events are left.
-	if answer.Status == http.StatusOK && !answer.Truncated {
-		_ = s.write(answer.Body)
+	// A heartbeat has already started the stream, so that the status and header
+	// of the stored response cannot be sent, only its events.
+	if stored.Status == http.StatusOK && !stored.Truncated {
+		_ = s.write(stored.Body)
 		return
 	}
-	data, _ := json.Marshal(errorShape(&serving.Refusal{Status: answer.Status, Code: "answer_not_stored", Message: "the request ran before; its answer cannot be sent again on this stream", Run: serving.Ran}))
+	data, _ := json.Marshal(newAPIError(&serving.Refusal{Status: stored.Status, Code: "answer_not_stored", Message: "the request ran before; its answer cannot be sent again on this stream", Run: serving.Ran}))
 	_ = s.write(append(append([]byte("data: "), data...), "\n\n"...))
 }
 
-func writeStored(w http.ResponseWriter, answer serving.StoredAnswer) {
-	for name, values := range serving.StoredHeader(answer) {
+func writeStoredResponse(w http.ResponseWriter, stored serving.StoredAnswer) {
+	for name, values := range serving.StoredHeader(stored) {
 		w.Header()[name] = values
 	}
-	w.Header().Set(HeaderRun, string(serving.Ran))
-	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body)
+	w.Header().Set(HeaderRunState, string(serving.Ran))
+	w.WriteHeader(stored.Status)
+	_, _ = w.Write(stored.Body)
 }
 
 func (s *Server) serveStream(ctx context.Context, w http.ResponseWriter, call *serving.Call) {
-	heartbeat := time.Duration(call.Snapshot.Document.Limits.HeartbeatMS) * time.Millisecond
-	sink := newEventSink(w, heartbeat, call.Route.Run == config.RunAtMostOnce)
-	defer sink.end()
+	heartbeatInterval := time.Duration(call.Snapshot.Document.Limits.HeartbeatMS) * time.Millisecond
+	sink := newEventSink(w, heartbeatInterval, call.Route.Run == config.RunAtMostOnce)
+	defer sink.close()
 	outcome := s.Serving.Complete(ctx, call, sink)
 	if outcome.Refusal == nil {
 		return
 	}
-	sink.refuse(outcome.Refusal)
+	sink.sendRefusal(outcome.Refusal)
 }
 
-// refuse ends the stream with an error. No [DONE] follows, so that the caller
-// cannot take the stream for complete.
-func (s *eventSink) refuse(r *serving.Refusal) {
+// sendRefusal ends the stream with an error event. It omits [DONE], so that the
+// caller cannot mistake the stream for a complete one.
+func (s *eventSink) sendRefusal(r *serving.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.started {
-		s.started = true
+	if !s.headerWritten {
+		s.headerWritten = true
 		writeRefusal(s.w, r)
 		return
 	}
-	data, _ := json.Marshal(errorShape(r))
+	data, _ := json.Marshal(newAPIError(r))
 	_ = s.write(append(append([]byte("data: "), data...), "\n\n"...))
 }
--- a/internal/adapter/callerhttp/auth.go
+++ b/internal/adapter/callerhttp/auth.go
@@ -10,26 +10,27 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// identity is an authenticated caller; its workspace is empty on open routes.
+// identity is an authenticated caller. On routes with open access, the
+// workspace is empty.
 type identity struct {
 	workspace string
-	hash      keys.Hash
+	keyHash   keys.Hash
 }
 
 func (s *Server) authenticate(r *http.Request, snap *config.Snapshot) (identity, *serving.Refusal) {
-	key := bearer(r.Header)
+	key := bearerToken(r.Header)
 	if key == "" {
-		return identity{}, refuse(http.StatusUnauthorized, "missing_key", "an Authorization header with a bearer key is required")
+		return identity{}, newRefusal(http.StatusUnauthorized, "missing_key", "an Authorization header with a bearer key is required")
 	}
 	hash := keys.Sum(key)
 	owner, ok := snap.Owner(hash)
 	if !ok || !s.Keys.Usable(hash, snap.Document.Workspaces[owner.Workspace]) {
-		return identity{}, refuse(http.StatusUnauthorized, "invalid_key", "the key is not valid")
+		return identity{}, newRefusal(http.StatusUnauthorized, "invalid_key", "the key is not valid")
 	}
-	return identity{workspace: owner.Workspace, hash: hash}, nil
+	return identity{workspace: owner.Workspace, keyHash: hash}, nil
 }
 
-func bearer(header http.Header) string {
+func bearerToken(header http.Header) string {
 	scheme, key, _ := strings.Cut(header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return ""
@@ -37,6 +38,6 @@
 	return strings.TrimSpace(key)
 }
 
-func allowed(route config.Route, workspace string) bool {
+func workspaceAllowed(route config.Route, workspace string) bool {
 	return len(route.Workspaces) == 0 || slices.Contains(route.Workspaces, workspace)
 }
--- a/internal/adapter/callerhttp/decode.go
+++ b/internal/adapter/callerhttp/decode.go
@@ -16,19 +16,22 @@
 )
 
 const (
-	// bodyReadTimeout bounds how long a caller may take to send a body that
-	// is read before dispatch.
+	// bodyReadTimeout limits how long a caller can take to send a body that is
+	// read before dispatch.
 	bodyReadTimeout = 30 * time.Second
-	// maxChoices bounds the answers that one request asks for.
+	// maxChoices limits the number of choices that one request can ask for.
 	maxChoices = 128
-	// maxIdempotencyKeyBytes bounds what every voter keeps per request.
+	// maxIdempotencyKeyBytes limits the memory per request at every voter,
+	// because each of them stores the key.
 	maxIdempotencyKeyBytes = 255
-	// bytesPerToken is the usual ratio for English and German text; the
-	// estimate is replaced by the actual count once the answer is known.
+	// bytesPerToken is the usual ratio for English and German text. The
+	// estimate based on it is replaced by the actual token count once the
+	// response is complete.
 	bytesPerToken = 4
 )
 
-// completionRequest is the part of a completion request that the router reads.
+// completionRequest holds the fields of a completion request that the router
+// reads.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -44,16 +47,17 @@
 }
 
 var (
-	errBodyTooLarge = refuse(http.StatusRequestEntityTooLarge, "body_too_large", "the body exceeds the limit")
-	errKeyInBody    = refuse(http.StatusBadRequest, "key_in_body", "the body contains the caller key, which must not reach a target")
+	errBodyTooLarge = newRefusal(http.StatusRequestEntityTooLarge, "body_too_large", "the body exceeds the limit")
+	errKeyInBody    = newRefusal(http.StatusBadRequest, "key_in_body", "the body contains the caller key, which must not reach a target")
 )
 
-// readBody reads the whole body within the limits of size and time.
+// readBody reads the whole body, subject to the size limit and bodyReadTimeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *serving.Refusal) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	// The server goes on reading to notice that the caller is gone.
+	// Clear the deadline: the server continues to read the connection to detect
+	// that the caller has disconnected.
 	_ = control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return nil, bodyRefusal(err)
@@ -61,7 +65,8 @@
 	return body, nil
 }
 
-// bodyRefusal says why a body could not be read.
+// bodyRefusal maps an error from reading the body to the refusal sent to the
+// caller.
 func bodyRefusal(err error) *serving.Refusal {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -70,35 +75,35 @@
 	case errors.Is(err, errKeyInStream):
 		return errKeyInBody
 	}
-	return refuse(http.StatusBadRequest, "bad_body", "the body could not be read")
+	return newRefusal(http.StatusBadRequest, "bad_body", "the body could not be read")
 }
 
-func (s *Server) decode(w http.ResponseWriter, r *http.Request, snap *config.Snapshot, id identity) (*serving.Call, bool, *serving.Refusal) {
+func (s *Server) decodeCompletion(w http.ResponseWriter, r *http.Request, snap *config.Snapshot, id identity) (*serving.Call, bool, *serving.Refusal) {
 	limits := snap.Document.Limits
 	body, refusal := readBody(w, r, limits.MaxBodyBytes)
 	if refusal != nil {
 		return nil, false, refusal
 	}
-	if newScrubber(snap, r).inBody(body) {
+	if newScrubber(snap, r).bodyContainsKey(body) {
 		return nil, false, errKeyInBody
 	}
 	var req completionRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		return nil, false, refuse(http.StatusBadRequest, "bad_json", "the body is not a valid completion request")
+		return nil, false, newRefusal(http.StatusBadRequest, "bad_json", "the body is not a valid completion request")
 	}
 	routeName, route, ok := snap.ModelRoute(req.Model)
-	if !ok || !allowed(route, id.workspace) {
-		return nil, false, refuse(http.StatusNotFound, "model_not_found", "the model does not exist or is not open to this workspace")
+	if !ok || !workspaceAllowed(route, id.workspace) {
+		return nil, false, newRefusal(http.StatusNotFound, "model_not_found", "the model does not exist or is not open to this workspace")
 	}
-	if refusal := checkRequest(r, req); refusal != nil {
+	if refusal := validateCompletion(r, req); refusal != nil {
 		return nil, false, refusal
 	}
-	toEngine, err := engineBody(body)
+	upstreamBody, err := engineBody(body)
 	if err != nil {
-		return nil, false, refuse(http.StatusBadRequest, "bad_json", "the body is not a JSON object")
+		return nil, false, newRefusal(http.StatusBadRequest, "bad_json", "the body is not a JSON object")
 	}
 	call := s.newCall(r, snap, id, routeName, route)
-	call.Body = toEngine
+	call.Body = upstreamBody
 	call.BodyHash = hashRequest(r.Method, r.URL.Path, body)
 	call.Path = r.URL.Path
 	call.Model = req.Model
@@ -107,21 +112,21 @@
 	call.Prompt = promptText(req)
 	call.PromptTokens = (len(call.Prompt) + bytesPerToken - 1) / bytesPerToken
 	call.MaxTokens = maxTokens(req, limits)
-	call.Choices = choices(req)
+	call.Choices = choiceCount(req)
 	call.IncludeUsage = req.StreamOptions.IncludeUsage
 	if call.PromptTokens > limits.MaxPromptTokens {
-		return nil, false, refuse(http.StatusBadRequest, "prompt_too_long", "the prompt exceeds the limit")
+		return nil, false, newRefusal(http.StatusBadRequest, "prompt_too_long", "the prompt exceeds the limit")
 	}
 	return call, req.Stream, nil
 }
 
-// newCall fills in what calls of models and services share.
+// newCall sets the fields that model requests and service calls have in common.
 func (s *Server) newCall(r *http.Request, snap *config.Snapshot, id identity, routeName string, route config.Route) *serving.Call {
 	now := s.Clock()
 	return &serving.Call{
 		ID:             newRequestID(),
 		Workspace:      id.workspace,
-		KeyHash:        id.hash,
+		KeyHash:        id.keyHash,
 		RouteName:      routeName,
 		Route:          route,
 		Snapshot:       snap,
@@ -131,22 +136,22 @@
 	}
 }
 
-func checkRequest(r *http.Request, req completionRequest) *serving.Refusal {
-	if refusal := checkIdempotencyKey(r); refusal != nil {
+func validateCompletion(r *http.Request, req completionRequest) *serving.Refusal {
+	if refusal := validateIdempotencyKey(r); refusal != nil {
 		return refusal
 	}
 	if req.N < 0 || req.N > maxChoices {
-		return refuse(http.StatusBadRequest, "bad_n", "n is out of range")
+		return newRefusal(http.StatusBadRequest, "bad_n", "n is out of range")
 	}
 	if req.MaxTokens < 0 || req.MaxCompletionTokens < 0 {
-		return refuse(http.StatusBadRequest, "bad_max_tokens", "the number of tokens must not be negative")
+		return newRefusal(http.StatusBadRequest, "bad_max_tokens", "the number of tokens must not be negative")
 	}
 	return nil
 }
 
-func checkIdempotencyKey(r *http.Request) *serving.Refusal {
+func validateIdempotencyKey(r *http.Request) *serving.Refusal {
 	if len(r.Header.Get(HeaderIdempotencyKey)) > maxIdempotencyKeyBytes {
-		return refuse(http.StatusBadRequest, "bad_idempotency_key", "the idempotency key is too long")
+		return newRefusal(http.StatusBadRequest, "bad_idempotency_key", "the idempotency key is too long")
 	}
 	return nil
 }
@@ -158,9 +163,9 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// engineBody turns streaming and the report of token counts on: the router
-// always streams from engines, so that whole answers can be resumed too, and
-// bills what the engine counted.
+// engineBody returns body with streaming and token usage reports enabled. The
+// router always streams from engines, so that non-streaming responses can be
+// resumed too, and bills the tokens counted by the engine.
 func engineBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -177,13 +182,13 @@
 	}
 	options["include_usage"] = json.RawMessage("true")
 	fields["stream"] = json.RawMessage("true")
-	fields["stream_options"] = joinObject(options)
-	return joinObject(fields), nil
+	fields["stream_options"] = encodeObject(options)
+	return encodeObject(fields), nil
 }
 
-// joinObject writes an object without scanning its values again, which
-// json.Marshal would do for the whole prompt.
-func joinObject(fields map[string]json.RawMessage) []byte {
+// encodeObject encodes a JSON object without scanning its values. json.Marshal
+// would scan them again, including the whole prompt.
+func encodeObject(fields map[string]json.RawMessage) []byte {
 	size := len("{}")
 	for name, value := range fields {
 		size += len(name) + len(value) + len(`"":,`)
@@ -218,16 +223,16 @@
 	return limits.DefaultMaxTokens
 }
 
-// choices returns how many answers the request asks for. A list of prompts
-// asks for n answers to each.
-func choices(req completionRequest) int {
+// choiceCount returns how many choices the request asks for. If the prompt is a
+// list of prompts, the engine generates n choices for each.
+func choiceCount(req completionRequest) int {
 	n := max(req.N, 1)
 	var prompts []json.RawMessage
 	if json.Unmarshal(req.Prompt, &prompts) != nil || len(prompts) == 0 {
 		return n
 	}
 	if c := prompts[0][0]; c != '"' && c != '[' {
-		// A list of token numbers is one prompt.
+		// A list of token IDs is a single prompt.
 		return n
 	}
 	return n * len(prompts)
@@ -241,11 +246,11 @@
 	return hex.EncodeToString(buf[:])
 }
 
-func refuse(status int, code, message string) *serving.Refusal {
+func newRefusal(status int, code, message string) *serving.Refusal {
 	return &serving.Refusal{Status: status, Code: code, Message: message, Run: serving.NotRun}
 }
 
-// retryAfterSeconds rounds up, because a resend that comes early is refused
+// retryAfterSeconds rounds up, because a retry that comes too early is rejected
 // again.
 func retryAfterSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
--- a/internal/adapter/callerhttp/slow_test.go
+++ b/internal/adapter/callerhttp/event_sink_test.go
@@ -11,18 +11,18 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// Guards against a caller that does not read and holds a stream, and the
-// engine behind it, for good.
-func TestSlowCallerIsGivenUp(t *testing.T) {
-	given := make(chan error, 1)
+// Guards against a caller that stops reading and thereby blocks its stream, and
+// the engine that feeds it, indefinitely.
+func TestWriteToSlowCallerTimesOut(t *testing.T) {
+	writeErr := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		sink := newEventSink(w, time.Hour, false)
-		defer sink.end()
-		sink.patience = 50 * time.Millisecond
+		defer sink.close()
+		sink.writeTimeout = 50 * time.Millisecond
 		chunk := serving.Chunk{Data: make([]byte, 64<<10)}
 		for {
 			if err := sink.Chunk(chunk); err != nil {
-				given <- err
+				writeErr <- err
 				return
 			}
 		}
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-given:
+	case <-writeErr:
 	case <-time.After(20 * time.Second):
-		t.Error("the stream still waits for the caller")
+		t.Error("write to a caller that does not read did not time out within 20 s")
 	}
 }
--- a/internal/adapter/callerhttp/limits.go
+++ b/internal/adapter/callerhttp/limits.go
@@ -9,26 +9,28 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// busyRetryAfter is the pause asked of callers that hit a concurrency limit.
+// busyRetryAfter is the Retry-After value for requests rejected by a
+// concurrency limit.
 const busyRetryAfter = time.Second
 
 func checkLimits(r *http.Request, snap *config.Snapshot, active int64) *serving.Refusal {
 	limits := snap.Document.Limits
 	if headerBytes(r) > limits.MaxHeaderBytes {
-		return refuse(http.StatusRequestHeaderFieldsTooLarge, "header_too_large", "the request header exceeds the limit")
+		return newRefusal(http.StatusRequestHeaderFieldsTooLarge, "header_too_large", "the request header exceeds the limit")
 	}
 	if r.ContentLength > limits.MaxBodyBytes {
 		return errBodyTooLarge
 	}
 	if active > int64(limits.MaxConcurrentPerVM) {
-		refusal := refuse(http.StatusServiceUnavailable, "vm_busy", "this VM runs as many requests as it may")
+		refusal := newRefusal(http.StatusServiceUnavailable, "vm_busy", "this VM runs as many requests as it may")
 		refusal.RetryAfter = busyRetryAfter
 		return refusal
 	}
 	return nil
 }
 
-// headerBytes is the size of the header as HTTP/1.1 writes it.
+// headerBytes returns the approximate size of the request header in HTTP/1.1
+// encoding.
 func headerBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	total := len(r.Method) + len(r.RequestURI) + len(r.Host)
@@ -40,29 +42,31 @@
 	return total
 }
 
-// running counts the running requests of each workspace.
-type running struct {
+// concurrencyLimiter limits the requests of each workspace that run
+// concurrently on this VM.
+type concurrencyLimiter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// enter counts a request in. The release function must be called once.
-func (c *running) enter(workspace string, snap *config.Snapshot) (release func(), refusal *serving.Refusal) {
+// acquire counts a request of workspace, or returns a refusal if the workspace
+// has reached its limit. The release function must be called exactly once.
+func (c *concurrencyLimiter) acquire(workspace string, snap *config.Snapshot) (release func(), refusal *serving.Refusal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counts == nil {
 		c.counts = make(map[string]int)
 	}
 	if workspace != "" && c.counts[workspace] >= snap.Document.Workspaces[workspace].MaxConcurrent {
-		refusal := refuse(http.StatusTooManyRequests, "workspace_busy", "the workspace runs as many requests on this VM as it may")
+		refusal := newRefusal(http.StatusTooManyRequests, "workspace_busy", "the workspace runs as many requests on this VM as it may")
 		refusal.RetryAfter = busyRetryAfter
 		return nil, refusal
 	}
 	c.counts[workspace]++
-	return func() { c.leave(workspace) }, nil
+	return func() { c.release(workspace) }, nil
 }
 
-func (c *running) leave(workspace string) {
+func (c *concurrencyLimiter) release(workspace string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[workspace]--
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -1,5 +1,5 @@
-// Package callerhttp serves callers over an OpenAI-compatible HTTP interface
-// and passes calls of plain services through.
+// Package callerhttp serves the OpenAI-compatible HTTP API for callers and
+// forwards calls to plain services.
 package callerhttp
 
 import (
@@ -13,50 +13,53 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// HeaderRun says whether a refused request ran.
-const HeaderRun = "Cuminwing-Run"
+// HeaderRunState is the response header that says whether a refused request ran
+// at a target.
+const HeaderRunState = "Cuminwing-Run"
 
-// HeaderIdempotencyKey lets callers mark resends of the same request.
+// HeaderIdempotencyKey is the request header by which callers identify resends
+// of the same request.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// KeyCheck decides whether a key may be used now.
-type KeyCheck interface {
-	// Usable reports whether the key with hash h may be used by workspace.
+// KeyValidator decides whether a key is currently valid.
+type KeyValidator interface {
+	// Usable reports whether workspace may currently use the key with hash h.
 	Usable(h keys.Hash, workspace config.Workspace) bool
-	// Watch returns a context that ends when the key is withdrawn.
+	// Watch returns a context that is cancelled when the key is withdrawn.
 	Watch(ctx context.Context, h keys.Hash) (context.Context, context.CancelFunc)
 }
 
-// Server handles callers' requests.
+// Server handles HTTP requests from callers.
 type Server struct {
-	// Snapshot returns the configuration in force; nil before there is one.
+	// Snapshot returns the current configuration, or nil if none has been
+	// received yet.
 	Snapshot func() *config.Snapshot
-	// Keys decides about withdrawn keys.
-	Keys KeyCheck
-	// Serving runs requests.
+	// Keys decides whether a key is still valid or has been withdrawn.
+	Keys KeyValidator
+	// Serving runs admitted requests.
 	Serving *serving.Service
-	// Ready reports whether the VM takes new requests.
+	// Ready reports whether this VM accepts new requests.
 	Ready func() bool
 	// Clock returns the current time.
 	Clock serving.Clock
 
-	active  atomic.Int64
-	running running
+	activeRequests atomic.Int64
+	concurrency    concurrencyLimiter
 }
 
 // Handler returns the HTTP handler for callers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	mux.HandleFunc("GET /readyz", s.ready)
-	mux.HandleFunc("GET /v1/models", s.counted(s.models))
-	mux.HandleFunc("POST /v1/chat/completions", s.counted(s.completions))
-	mux.HandleFunc("POST /v1/completions", s.counted(s.completions))
-	services := s.counted(s.service)
+	mux.HandleFunc("GET /readyz", s.serveReady)
+	mux.HandleFunc("GET /v1/models", s.withCommonChecks(s.serveModels))
+	mux.HandleFunc("POST /v1/chat/completions", s.withCommonChecks(s.serveCompletions))
+	mux.HandleFunc("POST /v1/completions", s.withCommonChecks(s.serveCompletions))
+	services := s.withCommonChecks(s.serveService)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The mux redirects paths that it holds unclean, which would change
-		// calls of services, so that it only gets the paths it knows.
-		if isService(r.URL.Path) {
+		// ServeMux redirects paths that are not in canonical form, which would
+		// alter service calls. Pass it only the router's own endpoints.
+		if isServicePath(r.URL.Path) {
 			services(w, r)
 			return
 		}
@@ -64,8 +67,8 @@
 	})
 }
 
-// isService reports whether path is outside the router's own endpoints.
-func isService(path string) bool {
+// isServicePath reports whether path is not one of the router's own endpoints.
+func isServicePath(path string) bool {
 	switch path {
 	case "/healthz", "/readyz", "/v1/models", "/v1/chat/completions", "/v1/completions":
 		return false
@@ -73,10 +76,10 @@
 	return true
 }
 
-// Active returns the number of running requests.
-func (s *Server) Active() int64 { return s.active.Load() }
+// Active returns the number of requests in progress.
+func (s *Server) Active() int64 { return s.activeRequests.Load() }
 
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if s.Ready() && s.Snapshot() != nil {
 		w.WriteHeader(http.StatusOK)
 		return
@@ -84,17 +87,18 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// handler serves one request under one snapshot.
-type handler func(w http.ResponseWriter, r *http.Request, snap *config.Snapshot)
+// snapshotHandler serves one request with a single configuration snapshot.
+type snapshotHandler func(w http.ResponseWriter, r *http.Request, snap *config.Snapshot)
 
-// counted wraps the checks that all requests share.
-func (s *Server) counted(next handler) http.HandlerFunc {
+// withCommonChecks counts the request as active and applies the checks that all
+// requests have in common.
+func (s *Server) withCommonChecks(next snapshotHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		count := s.active.Add(1)
-		defer s.active.Add(-1)
+		count := s.activeRequests.Add(1)
+		defer s.activeRequests.Add(-1)
 		if !s.Ready() {
-			// Asks callers that keep their connection to open another one,
-			// which the load balancer places on a VM that stays.
+			// Make callers that keep their connection alive open a new one,
+			// which the load balancer places on a VM that stays in service.
 			w.Header().Set("Connection", "close")
 		}
 		snap := s.Snapshot()
@@ -110,7 +114,7 @@
 	}
 }
 
-func (s *Server) models(w http.ResponseWriter, r *http.Request, snap *config.Snapshot) {
+func (s *Server) serveModels(w http.ResponseWriter, r *http.Request, snap *config.Snapshot) {
 	id, refusal := s.authenticate(r, snap)
 	if refusal != nil {
 		writeRefusal(w, refusal)
@@ -123,7 +127,7 @@
 	}
 	list := []model{}
 	for name := range snap.Document.Models {
-		if _, route, ok := snap.ModelRoute(name); ok && allowed(route, id.workspace) {
+		if _, route, ok := snap.ModelRoute(name); ok && workspaceAllowed(route, id.workspace) {
 			list = append(list, model{ID: name, Object: "model", OwnedBy: "cuminwing"})
 		}
 	}
@@ -131,41 +135,41 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"object": "list", "data": list})
 }
 
-var errNotReady = refuse(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet")
+var errNotReady = newRefusal(http.StatusServiceUnavailable, "not_ready", "this VM has no configuration yet")
 
-func (s *Server) completions(w http.ResponseWriter, r *http.Request, snap *config.Snapshot) {
+func (s *Server) serveCompletions(w http.ResponseWriter, r *http.Request, snap *config.Snapshot) {
 	id, refusal := s.authenticate(r, snap)
 	if refusal != nil {
 		writeRefusal(w, refusal)
 		return
 	}
-	release, refusal := s.running.enter(id.workspace, snap)
+	release, refusal := s.concurrency.acquire(id.workspace, snap)
 	if refusal != nil {
 		writeRefusal(w, refusal)
 		return
 	}
 	defer release()
-	call, stream, refusal := s.decode(w, r, snap, id)
+	call, stream, refusal := s.decodeCompletion(w, r, snap, id)
 	if refusal != nil {
 		writeRefusal(w, refusal)
 		return
 	}
-	ctx, cancel := s.watch(r.Context(), id)
+	ctx, cancel := s.watchKey(r.Context(), id)
 	defer cancel()
 	if stream {
 		s.serveStream(ctx, w, call)
 		return
 	}
-	s.serveWhole(ctx, w, call)
+	s.serveNonStreaming(ctx, w, call)
 }
 
-// watch returns a context that ends, with its cause, when the key is
-// withdrawn.
-func (s *Server) watch(ctx context.Context, id identity) (context.Context, context.CancelFunc) {
+// watchKey returns a context that is cancelled with the cause
+// serving.ErrKeyWithdrawn when the caller's key is withdrawn.
+func (s *Server) watchKey(ctx context.Context, id identity) (context.Context, context.CancelFunc) {
 	if id.workspace == "" {
 		return context.WithCancel(ctx)
 	}
-	watched, release := s.Keys.Watch(ctx, id.hash)
+	watched, release := s.Keys.Watch(ctx, id.keyHash)
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(watched, func() { cancel(serving.ErrKeyWithdrawn) })
 	return ctx, func() {
--- a/internal/adapter/callerhttp/service.go
+++ b/internal/adapter/callerhttp/service.go
@@ -14,15 +14,15 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// replayBytes is how much of a body is kept for a second attempt. Longer
-// bodies are streamed and their calls are not repeated.
-const replayBytes = 64 << 10
+// maxReplayBytes limits how much of a request body is buffered for a second
+// attempt. A longer body is streamed, and its call is not retried.
+const maxReplayBytes = 64 << 10
 
-// service passes a call through to a plain service.
-func (s *Server) service(w http.ResponseWriter, r *http.Request, snap *config.Snapshot) {
+// serveService forwards a call to a plain service.
+func (s *Server) serveService(w http.ResponseWriter, r *http.Request, snap *config.Snapshot) {
 	name, route, ok := snap.ServiceRoute(r.URL.Path)
 	if !ok {
-		writeRefusal(w, refuse(http.StatusNotFound, "no_route", "no route leads to this path"))
+		writeRefusal(w, newRefusal(http.StatusNotFound, "no_route", "no route leads to this path"))
 		return
 	}
 	id, refusal := s.admitService(r, snap, route)
@@ -30,49 +30,50 @@
 		writeRefusal(w, refusal)
 		return
 	}
-	release, refusal := s.running.enter(id.workspace, snap)
+	release, refusal := s.concurrency.acquire(id.workspace, snap)
 	if refusal != nil {
 		writeRefusal(w, refusal)
 		return
 	}
 	defer release()
 	call := s.newCall(r, snap, id, name, route)
-	req, refusal := serviceRequest(w, r, call)
+	req, refusal := newServiceRequest(w, r, call)
 	if refusal != nil {
 		writeRefusal(w, refusal)
 		return
 	}
-	ctx, cancel := s.watch(r.Context(), id)
+	ctx, cancel := s.watchKey(r.Context(), id)
 	defer cancel()
 	sink := &serviceSink{w: w, control: http.NewResponseController(w)}
 	outcome := s.Serving.Forward(ctx, call, req, sink)
-	finishService(w, sink, outcome.Refusal)
+	finishServiceResponse(w, sink, outcome.Refusal)
 }
 
 func (s *Server) admitService(r *http.Request, snap *config.Snapshot, route config.Route) (identity, *serving.Refusal) {
-	// TRACE and CONNECT make sense between neighbours only, and TRACE would
-	// send the header back.
+	// TRACE and CONNECT apply to a single hop, and TRACE would return the
+	// request header to the sender.
 	if r.Method == http.MethodTrace || r.Method == http.MethodConnect {
-		return identity{}, refuse(http.StatusMethodNotAllowed, "bad_method", "the method is not passed on")
+		return identity{}, newRefusal(http.StatusMethodNotAllowed, "bad_method", "the method is not passed on")
 	}
 	if hasDotSegment(r.URL.Path) {
-		return identity{}, refuse(http.StatusBadRequest, "bad_path", "the path has dot segments")
+		return identity{}, newRefusal(http.StatusBadRequest, "bad_path", "the path has dot segments")
 	}
-	if refusal := checkIdempotencyKey(r); refusal != nil {
+	if refusal := validateIdempotencyKey(r); refusal != nil {
 		return identity{}, refusal
 	}
 	if route.Access == config.AccessOpen {
 		return identity{}, nil
 	}
 	id, refusal := s.authenticate(r, snap)
-	if refusal == nil && !allowed(route, id.workspace) {
-		refusal = refuse(http.StatusNotFound, "no_route", "no route leads to this path")
+	if refusal == nil && !workspaceAllowed(route, id.workspace) {
+		refusal = newRefusal(http.StatusNotFound, "no_route", "no route leads to this path")
 	}
 	return id, refusal
 }
 
-// hasDotSegment reports whether the target could read the path as leading out
-// of the prefix that chose the route.
+// hasDotSegment reports whether path contains "." or ".." segments, with which
+// the target could resolve it to a path outside the prefix that the route
+// matched.
 func hasDotSegment(path string) bool {
 	for _, segment := range strings.FieldsFunc(path, func(c rune) bool { return c == '/' || c == '\\' }) {
 		if segment == "." || segment == ".." {
@@ -82,39 +83,39 @@
 	return false
 }
 
-// serviceRequest cleans the call of keys and prepares its body.
-func serviceRequest(w http.ResponseWriter, r *http.Request, call *serving.Call) (serving.ServiceRequest, *serving.Refusal) {
+// newServiceRequest removes caller keys from the call and prepares its body.
+func newServiceRequest(w http.ResponseWriter, r *http.Request, call *serving.Call) (serving.ServiceRequest, *serving.Refusal) {
 	scrub := newScrubber(call.Snapshot, r)
 	path := r.URL.EscapedPath()
-	if scrub.holdsKey(path) {
-		return serving.ServiceRequest{}, refuse(http.StatusBadRequest, "key_in_path", "the path contains a caller key, which must not reach a target")
+	if scrub.containsKey(path) {
+		return serving.ServiceRequest{}, newRefusal(http.StatusBadRequest, "key_in_path", "the path contains a caller key, which must not reach a target")
 	}
 	uri := path
-	if query := scrub.query(r.URL.RawQuery); query != "" {
+	if query := scrub.scrubQuery(r.URL.RawQuery); query != "" {
 		uri += "?" + query
 	}
-	header := scrub.header(r.Header)
+	header := scrub.scrubHeader(r.Header)
 	targethttp.RemoveHopByHop(header)
 	header.Del("Expect")
 	if header.Get("User-Agent") == "" {
-		// Keeps net/http from adding its own.
+		// An empty value keeps net/http from adding its default User-Agent.
 		header.Set("User-Agent", "")
 	}
 	req := serving.ServiceRequest{Method: r.Method, URI: uri, Header: header}
 	if call.Route.Run == config.RunAtMostOnce {
-		return wholeBody(w, r, call, scrub, req)
+		return bufferBody(w, r, call, scrub, req)
 	}
-	return streamedBody(w, r, call, scrub, req)
+	return streamBody(w, r, call, scrub, req)
 }
 
-// wholeBody reads the body before dispatch, because its hash is part of the
-// claim.
-func wholeBody(w http.ResponseWriter, r *http.Request, call *serving.Call, scrub *scrubber, req serving.ServiceRequest) (serving.ServiceRequest, *serving.Refusal) {
+// bufferBody reads the whole body before dispatch, because its hash is part of
+// the at-most-once claim.
+func bufferBody(w http.ResponseWriter, r *http.Request, call *serving.Call, scrub *scrubber, req serving.ServiceRequest) (serving.ServiceRequest, *serving.Refusal) {
 	body, refusal := readBody(w, r, call.Snapshot.Document.Limits.MaxBodyBytes)
 	if refusal != nil {
 		return req, refusal
 	}
-	if scrub.inBody(body) {
+	if scrub.bodyContainsKey(body) {
 		return req, errKeyInBody
 	}
 	call.BodyHash = hashRequest(req.Method, req.URI, body)
@@ -124,22 +125,22 @@
 	return req, nil
 }
 
-// streamedBody keeps the start of the body. If that is all of it, the call can
-// be repeated.
-func streamedBody(w http.ResponseWriter, r *http.Request, call *serving.Call, scrub *scrubber, req serving.ServiceRequest) (serving.ServiceRequest, *serving.Refusal) {
+// streamBody buffers the start of the body. If the buffer holds the whole body,
+// the call can be retried.
+func streamBody(w http.ResponseWriter, r *http.Request, call *serving.Call, scrub *scrubber, req serving.ServiceRequest) (serving.ServiceRequest, *serving.Refusal) {
 	control := http.NewResponseController(w)
-	// A service may answer before it has read the body.
+	// A service can respond before it has read the whole body.
 	_ = control.EnableFullDuplex()
 	_ = control.SetReadDeadline(time.Now().Add(call.Route.Timeout()))
 	limited := http.MaxBytesReader(w, r.Body, call.Snapshot.Document.Limits.MaxBodyBytes)
-	head, err := io.ReadAll(io.LimitReader(limited, replayBytes))
+	head, err := io.ReadAll(io.LimitReader(limited, maxReplayBytes))
 	if err != nil {
 		return req, bodyRefusal(err)
 	}
-	if scrub.inBody(head) {
+	if scrub.bodyContainsKey(head) {
 		return req, errKeyInBody
 	}
-	if len(head) < replayBytes {
+	if len(head) < maxReplayBytes {
 		_ = control.SetReadDeadline(time.Time{})
 		req.ContentLength = int64(len(head))
 		req.Buffered = true
@@ -147,17 +148,17 @@
 		return req, nil
 	}
 	req.ContentLength = r.ContentLength
-	rest := refusingReader{scrub.guard(io.MultiReader(bytes.NewReader(head), limited))}
+	rest := refusalReader{scrub.guardBody(io.MultiReader(bytes.NewReader(head), limited))}
 	req.Body = func() io.Reader { return rest }
 	return req, nil
 }
 
-// refusingReader turns faults of the caller's body into refusals, so that they
-// are not taken for faults of the target.
-type refusingReader struct{ in io.Reader }
+// refusalReader converts errors from reading the caller's body into refusals,
+// so that they are not attributed to the target.
+type refusalReader struct{ in io.Reader }
 
 // Read implements io.Reader.
-func (r refusingReader) Read(p []byte) (int, error) {
+func (r refusalReader) Read(p []byte) (int, error) {
 	n, err := r.in.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		err = bodyRefusal(err)
@@ -165,16 +166,16 @@
 	return n, err
 }
 
-// serviceSink passes the answer of a service on as it arrives.
+// serviceSink streams the response of a service to the caller.
 type serviceSink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	began   bool
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	headerWritten bool
 }
 
 // Begin implements serving.ServiceSink.
 func (s *serviceSink) Begin(status int, header http.Header) {
-	s.began = true
+	s.headerWritten = true
 	for name, values := range header {
 		s.w.Header()[name] = values
 	}
@@ -195,12 +196,12 @@
 	return n, err
 }
 
-func finishService(w http.ResponseWriter, sink *serviceSink, refusal *serving.Refusal) {
+func finishServiceResponse(w http.ResponseWriter, sink *serviceSink, refusal *serving.Refusal) {
 	switch {
 	case refusal == nil:
-	case sink.began:
-		// Breaks the connection off, so that the caller cannot take the part
-		// it has for the whole.
+	case sink.headerWritten:
+		// Abort the connection, so that the caller cannot mistake a truncated
+		// response for a complete one.
 		panic(http.ErrAbortHandler)
 	default:
 		writeRefusal(w, refusal)
