--- a/internal/adapter/targethttp/announce.go
+++ b/internal/adapter/targethttp/announce.go
@@ -9,12 +9,14 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// AnnouncePath is where targets send their heartbeats.
+// AnnouncePath is the path to which targets send their announcements as
+// heartbeats.
 const AnnouncePath = "/v1/announce"
 
 const maxAnnouncementBytes = 64 << 10
 
-// AnnounceHandler receives announcements and passes them on.
+// AnnounceHandler decodes and validates announcements from targets and calls
+// accept with each valid one.
 func AnnounceHandler(accept func(target.Announcement)) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+AnnouncePath, func(w http.ResponseWriter, r *http.Request) {
@@ -24,7 +26,7 @@
 			http.Error(w, "decode announcement: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		if reason := checkAnnouncement(a); reason != "" {
+		if reason := validateAnnouncement(a); reason != "" {
 			http.Error(w, reason, http.StatusBadRequest)
 			return
 		}
@@ -34,7 +36,7 @@
 	return mux
 }
 
-func checkAnnouncement(a target.Announcement) string {
+func validateAnnouncement(a target.Announcement) string {
 	if a.ID == "" || a.Incarnation == 0 || a.Zone == "" {
 		return "id, incarnation and zone are required"
 	}
--- a/internal/adapter/targethttp/cache.go
+++ b/internal/adapter/targethttp/cache.go
@@ -15,17 +15,18 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Headers that name the cached blocks of a prompt. The engine uses these names
-// in its cache events and keeps blocks of different scopes apart.
+// Headers that identify the cached blocks of a prompt. The engine uses the same
+// block and scope identifiers in its cache events, and does not share blocks
+// between scopes.
 const (
 	HeaderPrefixBlocks = "X-Prefix-Blocks"
 	HeaderPrefixScope  = "X-Prefix-Scope"
-	// HeaderKVSource is the base URL of a KV store from which the engine
-	// should import missing blocks before it computes the rest.
+	// HeaderKVSource is the base URL of a KV store from which the engine should
+	// import missing blocks before it computes the remaining ones.
 	HeaderKVSource = "X-KV-Source"
 )
 
-// Paths of the target protocol.
+// Endpoints of the target protocol for caches and load.
 const (
 	CacheEventsPath = "/v1/cache/events"
 	LoadPath        = "/v1/load"
@@ -44,66 +45,70 @@
 	}
 }
 
-// CacheEvents is the answer to GET /v1/cache/events?after=N. With after=0, or
-// if the events after N are no longer kept, the answer is a snapshot: its
-// events are the whole content, and the numbering goes on after Through, which
-// is at least 1.
-// Otherwise the call waits up to a second for events.
+// CacheEvents is the response to GET /v1/cache/events?after=N. If N is 0, or
+// the target no longer has the events after N, the response is a snapshot: its
+// events are the complete cache content, and the events that follow have
+// sequence numbers above Through, which is at least 1. Otherwise the target
+// waits up to CacheWait for events (long polling).
 type CacheEvents struct {
-	// Incarnation is the start that the events belong to.
+	// Incarnation identifies the start of the target to which the events
+	// belong.
 	Incarnation uint64 `json:"incarnation"`
-	// Snapshot is true if the events are the whole content.
+	// Snapshot is true if the events are the complete cache content.
 	Snapshot bool `json:"snapshot,omitempty"`
-	// Through is the last number that the answer covers.
+	// Through is the last sequence number that the response covers.
 	Through uint64 `json:"through"`
-	// Events are in order.
+	// Events are in sequence order.
 	Events []prefix.Event `json:"events"`
 }
 
-// CacheWait is how long a target may hold back an answer without events.
+// CacheWait is the maximum time that a target may delay a response when it has
+// no events.
 const CacheWait = time.Second
 
 const (
-	cacheTimeout        = 3 * time.Second
-	maxCacheAnswerBytes = 64 << 20
+	cacheTimeout          = 3 * time.Second
+	maxCacheResponseBytes = 64 << 20
 )
 
-// CacheReader reads the cache events and the load of targets.
+// CacheReader requests cache events, load reports and KV imports from targets.
 type CacheReader struct{ client *http.Client }
 
-// NewCacheReader returns a reader that connects through dial.
+// NewCacheReader returns a CacheReader that opens connections with dial.
 func NewCacheReader(dial Dialer) *CacheReader {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: idleConnTimeout}
 	return &CacheReader{client: &http.Client{Transport: transport, Timeout: cacheTimeout}}
 }
 
-// Events returns the events after a number.
+// Events returns the cache events of the target at base after a sequence
+// number.
 func (c *CacheReader) Events(ctx context.Context, base string, after uint64) (CacheEvents, error) {
-	var answer CacheEvents
-	err := c.get(ctx, base+CacheEventsPath+"?after="+strconv.FormatUint(after, 10), &answer)
-	return answer, err
+	var events CacheEvents
+	err := c.get(ctx, base+CacheEventsPath+"?after="+strconv.FormatUint(after, 10), &events)
+	return events, err
 }
 
-// Load returns the load of a target.
+// Load returns the load reported by the target at base.
 func (c *CacheReader) Load(ctx context.Context, base string) (target.Load, error) {
-	var answer target.Load
-	err := c.get(ctx, base+LoadPath, &answer)
-	return answer, err
+	var load target.Load
+	err := c.get(ctx, base+LoadPath, &load)
+	return load, err
 }
 
-// KVTransfer is the body of KV export and import. An export answers with the
-// leading blocks that the target holds; on an import the target fetches them
-// from Source by an export and answers with what it then holds.
+// KVTransfer is the request body of KV exports and imports. The response to an
+// export contains the leading blocks of the chain that the target holds. On an
+// import, the target fetches the blocks from Source with an export and reports
+// which blocks it holds afterwards.
 type KVTransfer struct {
-	// Scope separates workspaces, weights and adapters.
+	// Scope separates the blocks of different workspaces, weights and adapters.
 	Scope string `json:"scope"`
-	// Blocks is the chain.
+	// Blocks is the chain of block hashes.
 	Blocks []prefix.Hash `json:"blocks"`
-	// Source is the base URL to import from.
+	// Source is the base URL from which to import.
 	Source string `json:"source,omitempty"`
 }
 
-// Import asks the target at base to take blocks over from source.
+// Import asks the target at base to import blocks from source.
 func (c *CacheReader) Import(ctx context.Context, base, source string, scope prefix.ScopeDigest, blocks []prefix.Hash) error {
 	body, err := json.Marshal(KVTransfer{Scope: hex.EncodeToString(scope[:]), Blocks: blocks, Source: source})
 	if err != nil {
@@ -120,12 +125,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return statusError(resp)
+		return newStatusError(resp)
 	}
 	return nil
 }
 
-func (c *CacheReader) get(ctx context.Context, url string, answer any) error {
+func (c *CacheReader) get(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -136,11 +141,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return statusError(resp)
+		return newStatusError(resp)
 	}
-	body := http.MaxBytesReader(nil, resp.Body, maxCacheAnswerBytes)
-	if err := json.NewDecoder(body).Decode(answer); err != nil {
-		return fmt.Errorf("decode answer of %s: %w", url, err)
+	body := http.MaxBytesReader(nil, resp.Body, maxCacheResponseBytes)
+	if err := json.NewDecoder(body).Decode(out); err != nil {
+		return fmt.Errorf("decode response from %s: %w", url, err)
 	}
 	return nil
 }
--- a/internal/adapter/targethttp/contract_test.go
+++ b/internal/adapter/targethttp/contract_test.go
@@ -35,17 +35,17 @@
 	return &target.Target{Announcement: target.Announcement{ID: "t", Incarnation: 1, URL: server.URL, Capabilities: target.Capabilities{HTTP2: http2}}}
 }
 
-func testCall(limit time.Duration) *serving.Call {
-	return &serving.Call{ID: "r", Path: "/v1/completions", Body: []byte("{}"), Route: config.Route{FirstTokenTimeoutMS: int(limit.Milliseconds())}}
+func testCall(timeout time.Duration) *serving.Call {
+	return &serving.Call{ID: "r", Path: "/v1/completions", Body: []byte("{}"), Route: config.Route{FirstTokenTimeoutMS: int(timeout.Milliseconds())}}
 }
 
-// stall answers nothing until the caller gives up.
+// stall sends no response until the client cancels the request.
 func stall(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-func write(parts ...string) http.HandlerFunc {
+func respond(parts ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for _, p := range parts {
 			_, _ = io.WriteString(w, p)
@@ -54,8 +54,9 @@
 	}
 }
 
-// Guards against faults of a target that are taken for an answer, for another
-// fault, or wait longer than the limit. It is the contract of serving.Engines.
+// Guards against failures of a target that are mistaken for a response or for
+// another kind of failure, or are detected only after the timeout. This is the
+// contract of serving.Engines.
 func TestEnginesContract(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -63,49 +64,49 @@
 		chunks  int
 		check   func(error) bool
 	}{
-		{"whole answer", write(event, "data: [DONE]\n\n"), 2, func(err error) bool { return err == nil }},
+		{"complete response", respond(event, "data: [DONE]\n\n"), 2, func(err error) bool { return err == nil }},
 		{"silent", stall, 0, func(err error) bool { return errors.Is(err, serving.ErrStalled) }},
 		{"status 503", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "7"); w.WriteHeader(503) }, 0,
 			func(err error) bool {
 				var status *serving.StatusError
 				return errors.As(err, &status) && status.RetryAfter == 7*time.Second
 			}},
-		{"stall between events", func(w http.ResponseWriter, r *http.Request) { write(event)(w, r); stall(w, r) }, 1,
+		{"stall between events", func(w http.ResponseWriter, r *http.Request) { respond(event)(w, r); stall(w, r) }, 1,
 			func(err error) bool { return errors.Is(err, serving.ErrStalled) }},
-		{"end without marker", write(event), 1, func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
-		{"cut connection", func(w http.ResponseWriter, r *http.Request) { write(event)(w, r); panic(http.ErrAbortHandler) }, 1,
+		{"end without [DONE]", respond(event), 1, func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
+		{"aborted connection", func(w http.ResponseWriter, r *http.Request) { respond(event)(w, r); panic(http.ErrAbortHandler) }, 1,
 			func(err error) bool { return err != nil && !errors.Is(err, serving.ErrStalled) }},
-		{"malformed id", write("id: r;1;x;1\ndata: {}\n\n"), 0, func(err error) bool { return err != nil }},
-		{"malformed data", write("id: r;1;0;1\ndata: {\n\n"), 0, func(err error) bool { return err != nil }},
-		{"error event", write("id: r;1;0;0\ndata: {\"error\":{}}\n\n"), 0, func(err error) bool { return errors.Is(err, errInStream) }},
-		{"endless line", write("data: " + strings.Repeat("x", maxEventLineBytes+1)), 0, func(err error) bool { return errors.Is(err, errLongEvent) }},
+		{"malformed id", respond("id: r;1;x;1\ndata: {}\n\n"), 0, func(err error) bool { return err != nil }},
+		{"malformed data", respond("id: r;1;0;1\ndata: {\n\n"), 0, func(err error) bool { return err != nil }},
+		{"error event", respond("id: r;1;0;0\ndata: {\"error\":{}}\n\n"), 0, func(err error) bool { return errors.Is(err, errErrorEvent) }},
+		{"line too long", respond("data: " + strings.Repeat("x", maxEventLineBytes+1)), 0, func(err error) bool { return errors.Is(err, errEventTooLong) }},
 	} {
 		for _, http2 := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/http2=%t", c.name, http2), func(t *testing.T) {
 				t.Parallel()
-				to := startTarget(t, http2, c.handler)
-				// The limit is short only where it has to be reached.
-				limit := 20 * time.Second
+				dest := startTarget(t, http2, c.handler)
+				// The timeout is short only in cases that must reach it.
+				timeout := 20 * time.Second
 				if c.name == "silent" || strings.HasPrefix(c.name, "stall") {
-					limit = 300 * time.Millisecond
+					timeout = 300 * time.Millisecond
 				}
-				chunks, err := readAll(NewEngines(nil), to, limit)
+				chunks, err := countChunks(NewEngines(nil), dest, timeout)
 				if chunks != c.chunks || !c.check(err) {
-					t.Errorf("%d chunks, error %v", chunks, err)
+					t.Errorf("got %d chunks and error %v", chunks, err)
 				}
 			})
 		}
 	}
 }
 
-func readAll(e *Engines, to *target.Target, limit time.Duration) (int, error) {
-	s, err := e.Open(context.Background(), to, serving.EngineRequest{Call: testCall(limit)})
+func countChunks(e *Engines, dest *target.Target, timeout time.Duration) (int, error) {
+	s, err := e.Open(context.Background(), dest, serving.EngineRequest{Call: testCall(timeout)})
 	if err != nil {
 		return 0, err
 	}
 	defer s.Close()
 	for n := 0; ; n++ {
-		chunk, err := s.Next(limit)
+		chunk, err := s.Next(timeout)
 		if err != nil {
 			return n, err
 		}
@@ -115,8 +116,9 @@
 	}
 }
 
-// Guards against refusals that call a request not-run although its bytes left,
-// and the other way round.
+// Guards against DialError being returned after bytes of the request were sent,
+// which would report the request as not run, and against a refused connection
+// that is not reported as a DialError.
 func TestRefusedDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,24 +126,24 @@
 	}
 	l.Close()
 	for _, http2 := range []bool{false, true} {
-		to := &target.Target{Announcement: target.Announcement{URL: "http://" + l.Addr().String(), Capabilities: target.Capabilities{HTTP2: http2}}}
+		dest := &target.Target{Announcement: target.Announcement{URL: "http://" + l.Addr().String(), Capabilities: target.Capabilities{HTTP2: http2}}}
 		var dial *serving.DialError
-		if _, err := readAll(NewEngines(nil), to, time.Second); !errors.As(err, &dial) {
-			t.Errorf("engine, http2=%t: %v", http2, err)
+		if _, err := countChunks(NewEngines(nil), dest, time.Second); !errors.As(err, &dial) {
+			t.Errorf("refused connection to engine, http2=%t: got %v, want a DialError", http2, err)
 		}
 		req := serving.ServiceRequest{Method: "POST", URI: "/", Header: http.Header{}, Body: func() io.Reader { return strings.NewReader("x") }, ContentLength: 1}
-		if _, err := NewServices(nil).Do(t.Context(), to, testCall(time.Second), req); !errors.As(err, &dial) {
-			t.Errorf("service, http2=%t: %v", http2, err)
+		if _, err := NewServices(nil).Do(t.Context(), dest, testCall(time.Second), req); !errors.As(err, &dial) {
+			t.Errorf("refused connection to service, http2=%t: got %v, want a DialError", http2, err)
 		}
 	}
 }
 
-// Guards against calls that the HTTP library sends a second time by itself. It
-// is part of the contract of serving.Services.
+// Guards against calls that the HTTP library retries on its own. This is part
+// of the contract of serving.Services.
 func TestServicesSendOnce(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		var calls atomic.Int32
-		to := startTarget(t, http2, func(_ http.ResponseWriter, r *http.Request) {
+		dest := startTarget(t, http2, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			calls.Add(1)
 			panic(http.ErrAbortHandler)
@@ -151,18 +153,19 @@
 			calls.Store(0)
 			header := http.Header{"Idempotency-Key": {"k"}}
 			req := serving.ServiceRequest{Method: method, URI: "/", Header: header, Body: func() io.Reader { return strings.NewReader("") }}
-			if _, err := services.Do(t.Context(), to, testCall(20*time.Second), req); err == nil || calls.Load() != 1 {
-				t.Errorf("%s, http2=%t: %d calls, error %v", method, http2, calls.Load(), err)
+			if _, err := services.Do(t.Context(), dest, testCall(20*time.Second), req); err == nil || calls.Load() != 1 {
+				t.Errorf("%s, http2=%t: target received %d calls, want 1 and an error; error %v", method, http2, calls.Load(), err)
 			}
 		}
 	}
 }
 
-// Guards against fields of one connection that travel on to the next.
+// Guards against hop-by-hop header fields that are forwarded to the next
+// connection.
 func TestRemoveHopByHop(t *testing.T) {
 	header := http.Header{"Connection": {"X-One, x-two"}, "X-One": {"1"}, "X-Two": {"2"}, "Te": {"trailers"}, "Upgrade": {"h2c"}, "X-Keep": {"3"}}
 	RemoveHopByHop(header)
 	if len(header) != 1 || header.Get("X-Keep") != "3" {
-		t.Errorf("left: %v", header)
+		t.Errorf("got header %v, want only X-Keep", header)
 	}
 }
--- a/internal/adapter/targethttp/engine.go
+++ b/internal/adapter/targethttp/engine.go
@@ -1,5 +1,6 @@
-// Package targethttp speaks the HTTP protocol of targets: it dispatches
-// requests to engines and services and receives their announcements.
+// Package targethttp implements the HTTP protocol between the router and its
+// targets. It dispatches requests to engines and services, reads cache events,
+// sends orders and receives announcements.
 package targethttp
 
 import (
@@ -30,23 +31,25 @@
 )
 
 const (
-	// maxErrorBody bounds what is passed through of an error answer.
-	maxErrorBody = 64 << 10
-	// cancelTimeout and maxCancels bound the cancel messages in flight. One
-	// that finds no room is left out: closing the connection cancels too.
+	// maxErrorBodyBytes limits how much of the body of an error response is
+	// read and passed on.
+	maxErrorBodyBytes = 64 << 10
+	// cancelTimeout limits the duration of a cancel message, and maxCancels the
+	// number of cancel messages in flight. Messages beyond that are dropped,
+	// because closing the connection cancels the request as well.
 	cancelTimeout = time.Second
 	maxCancels    = 256
 )
 
 // Engines dispatches requests to engines over HTTP.
 type Engines struct {
-	transports *transports
-	cancels    chan struct{}
+	transports  *transportPool
+	cancelSlots chan struct{}
 }
 
-// NewEngines returns a dispatcher that connects through dial.
+// NewEngines returns an Engines that opens connections with dial.
 func NewEngines(dial Dialer) *Engines {
-	return &Engines{transports: newTransports(dial), cancels: make(chan struct{}, maxCancels)}
+	return &Engines{transports: newTransportPool(dial), cancelSlots: make(chan struct{}, maxCancels)}
 }
 
 // Open implements serving.Engines.
@@ -60,7 +63,7 @@
 	rt := e.transports.forTarget(t)
 	resp, err := roundTrip(rt, httpReq, cancel, req.Call.Route.FirstTokenTimeout())
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = statusError(resp)
+		err = newStatusError(resp)
 	}
 	abort := func(cause error) { e.abort(t, rt, req, cause) }
 	if err != nil {
@@ -68,11 +71,12 @@
 		abort(err)
 		return nil, err
 	}
-	return newStream(resp, cancel, abort), nil
+	return newEventStream(resp, cancel, abort), nil
 }
 
-// abort tells the engine to stop. After a stall the message goes over a new
-// connection, because the first may be silent.
+// abort tells the engine to cancel the request. After a stall, it sends the
+// message over a new connection, because the first one may have failed
+// silently.
 func (e *Engines) abort(t *target.Target, rt *http.Transport, req serving.EngineRequest, cause error) {
 	switch cause.(type) {
 	case *serving.DialError, *serving.StatusError:
@@ -82,12 +86,12 @@
 		e.transports.retire(t, rt)
 	}
 	select {
-	case e.cancels <- struct{}{}:
+	case e.cancelSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-e.cancels }()
+		defer func() { <-e.cancelSlots }()
 		e.sendCancel(t, req)
 	}()
 }
@@ -106,33 +110,33 @@
 	}
 }
 
-// roundTrip sends the request and waits for the response header within limit,
-// so that a silent connection cannot hold the request. The error is a
-// DialError if no connection was made.
-func roundTrip(rt *http.Transport, req *http.Request, cancel context.CancelFunc, limit time.Duration) (*http.Response, error) {
+// roundTrip sends the request and waits for the response header no longer than
+// timeout, so that an unresponsive connection cannot block the request. The
+// error is a DialError if no connection was established.
+func roundTrip(rt *http.Transport, req *http.Request, cancel context.CancelFunc, timeout time.Duration) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
-	timer := time.AfterFunc(limit, cancel)
+	timer := time.AfterFunc(timeout, cancel)
 	resp, err := rt.RoundTrip(req)
-	inTime := timer.Stop()
+	withinTimeout := timer.Stop()
 	switch {
-	case err == nil && inTime:
+	case err == nil && withinTimeout:
 		return resp, nil
 	case err == nil:
 		resp.Body.Close()
 		return nil, serving.ErrStalled
 	case !connected.Load():
 		return nil, &serving.DialError{Err: err}
-	case !inTime:
+	case !withinTimeout:
 		return nil, serving.ErrStalled
 	}
 	return nil, err
 }
 
-func statusError(resp *http.Response) error {
+func newStatusError(resp *http.Response) error {
 	defer resp.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 	return &serving.StatusError{
 		Status:      resp.StatusCode,
@@ -146,7 +150,7 @@
 	body := req.Call.Body
 	if req.ResumeOffset > 0 {
 		var err error
-		body, err = withResume(body, req.ResumeOffset, req.ResumeText)
+		body, err = addResumeField(body, req.ResumeOffset, req.ResumeText)
 		if err != nil {
 			return nil, err
 		}
@@ -155,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody no transport sends the request a second time.
+	// Without GetBody, no transport can send the request a second time.
 	httpReq.GetBody = nil
 	httpReq.Header.Set("Content-Type", "application/json")
 	httpReq.Header.Set(HeaderRequestID, req.Call.ID)
@@ -168,15 +172,16 @@
 	return httpReq, nil
 }
 
-// Resume is the extension field of a request that continues a stream.
+// Resume is the request extension field that asks an engine to continue an
+// interrupted stream.
 type Resume struct {
-	// Offset is the number of tokens already delivered.
+	// Offset is the number of tokens already delivered to the caller.
 	Offset int `json:"offset"`
 	// Text is the text of those tokens.
 	Text string `json:"text"`
 }
 
-func withResume(body []byte, offset int, text string) ([]byte, error) {
+func addResumeField(body []byte, offset int, text string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, err
--- a/internal/adapter/targethttp/events.go
+++ b/internal/adapter/targethttp/events.go
@@ -17,30 +17,31 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// maxEventLineBytes bounds one line of an event stream.
+// maxEventLineBytes limits one line of an event stream, and the data of one
+// event, in bytes.
 const maxEventLineBytes = 1 << 20
 
-// stream reads server-sent events of one response. The id field of an event
-// is "request;incarnation;offset;tokens".
-type stream struct {
-	resp     *http.Response
-	cancel   context.CancelFunc
-	abort    func(cause error)
-	cause    error
-	reader   *bufio.Reader
-	cached   int
-	finished bool
+// eventStream reads the server-sent events of one response. The id field of an
+// event has the format "request;incarnation;offset;tokens".
+type eventStream struct {
+	resp         *http.Response
+	cancel       context.CancelFunc
+	abort        func(cause error)
+	cause        error
+	reader       *bufio.Reader
+	cachedTokens int
+	finished     bool
 }
 
-func newStream(resp *http.Response, cancel context.CancelFunc, abort func(cause error)) *stream {
-	cached, _ := strconv.Atoi(resp.Header.Get(HeaderCachedTokens))
-	return &stream{resp: resp, cancel: cancel, abort: abort, reader: bufio.NewReader(resp.Body), cached: cached}
+func newEventStream(resp *http.Response, cancel context.CancelFunc, abort func(cause error)) *eventStream {
+	cachedTokens, _ := strconv.Atoi(resp.Header.Get(HeaderCachedTokens))
+	return &eventStream{resp: resp, cancel: cancel, abort: abort, reader: bufio.NewReader(resp.Body), cachedTokens: cachedTokens}
 }
 
-// Next implements serving.ChunkStream. A timer per event closes the
-// connection if the event does not come in time.
-func (s *stream) Next(limit time.Duration) (serving.Chunk, error) {
-	timer := time.AfterFunc(limit, s.cancel)
+// Next implements serving.ChunkStream. It cancels the request if the event does
+// not arrive within timeout.
+func (s *eventStream) Next(timeout time.Duration) (serving.Chunk, error) {
+	timer := time.AfterFunc(timeout, s.cancel)
 	chunk, err := readEvent(s.reader)
 	if !timer.Stop() {
 		err = serving.ErrStalled
@@ -49,13 +50,13 @@
 		s.cause = err
 		return serving.Chunk{}, err
 	}
-	chunk.CachedTokens = s.cached
+	chunk.CachedTokens = s.cachedTokens
 	s.finished = chunk.Done
 	return chunk, nil
 }
 
 // Close implements serving.ChunkStream.
-func (s *stream) Close() {
+func (s *eventStream) Close() {
 	s.cancel()
 	s.resp.Body.Close()
 	if !s.finished {
@@ -63,7 +64,7 @@
 	}
 }
 
-// readEvent reads one event that carries data.
+// readEvent reads the next event that has data.
 func readEvent(r *bufio.Reader) (serving.Chunk, error) {
 	var chunk serving.Chunk
 	for {
@@ -80,30 +81,30 @@
 			}
 		case "data":
 			if len(chunk.Data)+len(value) > maxEventLineBytes {
-				return chunk, errLongEvent
+				return chunk, errEventTooLong
 			}
 			chunk.Data = append(chunk.Data, value...)
 		case "":
 			if len(line) == 0 && chunk.Data != nil {
-				return finishChunk(chunk)
+				return decodeChunk(chunk)
 			}
 		}
 	}
 }
 
-var errLongEvent = fmt.Errorf("event is longer than %d bytes", maxEventLineBytes)
+var errEventTooLong = fmt.Errorf("stream event exceeds %d bytes", maxEventLineBytes)
 
-// readLine returns a line that is valid until the next read.
+// readLine returns the next line, which is valid until the next read from r.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, more, err := r.ReadLine()
 	for more && err == nil {
-		// The first part is copied, because the next read overwrites it.
+		// Copy the first part, because the next read overwrites it.
 		var part []byte
 		line = bytes.Clone(line)
 		part, more, err = r.ReadLine()
 		line = append(line, part...)
 		if len(line) > maxEventLineBytes {
-			return nil, errLongEvent
+			return nil, errEventTooLong
 		}
 	}
 	if errors.Is(err, io.EOF) {
@@ -115,16 +116,16 @@
 func parseEventID(id string, chunk *serving.Chunk) error {
 	parts := strings.Split(id, ";")
 	if len(parts) != 4 {
-		return errors.New("event id does not have 4 parts")
+		return errors.New("event id does not have 4 fields")
 	}
 	incarnation, err1 := strconv.ParseUint(parts[1], 10, 64)
 	offset, err2 := strconv.ParseInt(parts[2], 10, 32)
 	tokens, err3 := strconv.ParseInt(parts[3], 10, 32)
 	if err := errors.Join(err1, err2, err3); err != nil {
-		return fmt.Errorf("event id: %w", err)
+		return fmt.Errorf("parse event id: %w", err)
 	}
 	if offset < 0 || tokens < 0 {
-		return errors.New("event id has a negative count")
+		return errors.New("event id has a negative offset or token count")
 	}
 	chunk.RequestID = parts[0]
 	chunk.Incarnation = incarnation
@@ -133,7 +134,8 @@
 	return nil
 }
 
-// completionEvent is the part of an OpenAI stream event that the router reads.
+// completionEvent holds the fields of an OpenAI stream event that the router
+// reads.
 type completionEvent struct {
 	Choices []struct {
 		Index int    `json:"index"`
@@ -156,9 +158,9 @@
 
 var doneMarker = []byte("[DONE]")
 
-var errInStream = errors.New("target sent an error event")
+var errErrorEvent = errors.New("target sent an error event")
 
-func finishChunk(chunk serving.Chunk) (serving.Chunk, error) {
+func decodeChunk(chunk serving.Chunk) (serving.Chunk, error) {
 	if bytes.Equal(chunk.Data, doneMarker) {
 		chunk.Done = true
 		return chunk, nil
@@ -167,8 +169,8 @@
 	if err := json.Unmarshal(chunk.Data, &event); err != nil {
 		return chunk, fmt.Errorf("decode stream event: %w", err)
 	}
-	if present(event.Error) {
-		return chunk, errInStream
+	if isSet(event.Error) {
+		return chunk, errErrorEvent
 	}
 	for i := range event.Choices {
 		c := &event.Choices[i]
@@ -177,7 +179,7 @@
 			chunk.Finished++
 		}
 		chunk.Opaque = chunk.Opaque || c.Index > 0 || c.Delta.Refusal != "" || c.Delta.Reasoning != "" ||
-			present(c.Delta.ToolCalls) || present(c.Delta.FunctionCall)
+			isSet(c.Delta.ToolCalls) || isSet(c.Delta.FunctionCall)
 	}
 	if event.Usage != nil {
 		chunk.Usage = &serving.Usage{PromptTokens: event.Usage.PromptTokens, CompletionTokens: event.Usage.CompletionTokens}
@@ -186,6 +188,6 @@
 	return chunk, nil
 }
 
-func present(raw json.RawMessage) bool {
+func isSet(raw json.RawMessage) bool {
 	return len(raw) > 0 && !bytes.Equal(raw, []byte("null"))
 }
--- a/internal/adapter/targethttp/events_test.go
+++ b/internal/adapter/targethttp/events_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against panics and unbounded memory on streams of broken targets.
+// Guards against panics and unbounded memory use on malformed event streams.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("id: r;1;0;1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("id: ;;;\ndata:x\ndata:y\n\n"))
@@ -18,7 +18,7 @@
 				return
 			}
 			if chunk.Offset < 0 || chunk.Tokens < 0 {
-				t.Fatalf("negative count in %+v", chunk)
+				t.Fatalf("negative offset or token count in %+v", chunk)
 			}
 		}
 	})
--- a/internal/adapter/targethttp/orders.go
+++ b/internal/adapter/targethttp/orders.go
@@ -13,15 +13,16 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// OrderPath is where targets take orders.
+// OrderPath is the path to which orders are sent.
 const OrderPath = "/v1/orders"
 
-// Order is the body of an order. A target that gets an order ID again does
-// nothing and answers as before.
+// Order is the request body of an order. Orders are idempotent: a target that
+// receives an order ID again takes no action and repeats its first response.
 type Order struct {
 	OrderID string `json:"order_id"`
-	// Fence is the fencing number. Targets that check fencing refuse orders
-	// with a lower number than they have seen, with status 409.
+	// Fence is the fencing token. Targets that check fencing tokens reject an
+	// order with status 409 if its token is lower than the highest one they
+	// have seen.
 	Fence    uint64   `json:"fence"`
 	Kind     string   `json:"kind"`
 	Model    string   `json:"model"`
@@ -30,12 +31,12 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-// ErrFenced means that the target has seen a higher fencing number.
-var ErrFenced = errors.New("target refused the order: a newer holder of the order lease exists")
+// ErrFenced means that the target has seen a higher fencing token.
+var ErrFenced = errors.New("target rejected the order: the order lease has a newer holder")
 
-const maxOrderAnswerBytes = 4 << 10
+const maxOrderResponseBytes = 4 << 10
 
-// SendOrder delivers one order. A nil error means that the target took it.
+// SendOrder sends one order. A nil error means that the target accepted it.
 func SendOrder(ctx context.Context, client *http.Client, t *target.Target, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -43,20 +44,20 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, t.URL+OrderPath, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("order to %s: %w", t.ID, err)
+		return fmt.Errorf("create order request to target %s: %w", t.ID, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
 	if err != nil {
-		return fmt.Errorf("order to %s: %w", t.ID, err)
+		return fmt.Errorf("send order to target %s: %w", t.ID, err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOrderAnswerBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOrderResponseBytes))
 	switch {
 	case resp.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case resp.StatusCode/100 != 2:
-		return fmt.Errorf("order to %s: status %d", t.ID, resp.StatusCode)
+		return fmt.Errorf("send order to target %s: unexpected status %d", t.ID, resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/adapter/targethttp/service.go
+++ b/internal/adapter/targethttp/service.go
@@ -11,14 +11,14 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Services calls plain services over HTTP.
+// Services dispatches calls to plain services over HTTP.
 type Services struct {
-	transports *transports
+	transports *transportPool
 }
 
-// NewServices returns a dispatcher that connects through dial.
+// NewServices returns a Services that opens connections with dial.
 func NewServices(dial Dialer) *Services {
-	return &Services{transports: newTransports(dial)}
+	return &Services{transports: newTransportPool(dial)}
 }
 
 // Do implements serving.Services.
@@ -30,8 +30,8 @@
 		return nil, &serving.DialError{Err: err}
 	}
 	rt := s.transports.forTarget(t)
-	limit := call.Route.FirstTokenTimeout()
-	resp, err := roundTrip(rt, httpReq, cancel, limit)
+	timeout := call.Route.FirstTokenTimeout()
+	resp, err := roundTrip(rt, httpReq, cancel, timeout)
 	if err != nil {
 		cancel()
 		if _, dial := err.(*serving.DialError); !dial {
@@ -40,12 +40,12 @@
 		return nil, err
 	}
 	RemoveHopByHop(resp.Header)
-	body := &serviceBody{body: resp.Body, cancel: cancel, limit: limit, retire: func() { s.transports.retire(t, rt) }}
+	body := &timeoutBody{body: resp.Body, cancel: cancel, timeout: timeout, retireTransport: func() { s.transports.retire(t, rt) }}
 	return &serving.ServiceAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
 func newServiceRequest(ctx context.Context, t *target.Target, call *serving.Call, req serving.ServiceRequest) (*http.Request, error) {
-	httpReq, err := http.NewRequestWithContext(ctx, req.Method, t.URL+req.URI, onlyReader{req.Body()})
+	httpReq, err := http.NewRequestWithContext(ctx, req.Method, t.URL+req.URI, readerOnly{req.Body()})
 	if err != nil {
 		return nil, err
 	}
@@ -58,54 +58,56 @@
 	return httpReq, nil
 }
 
-// onlyReader hides the type of a body, so that the transport cannot rewind it
-// and send the request a second time.
-type onlyReader struct{ io.Reader }
+// readerOnly hides the concrete type of a body, so that the transport cannot
+// rewind it and send the request a second time.
+type readerOnly struct{ io.Reader }
 
-// serviceBody bounds the time between two parts of an answer.
-type serviceBody struct {
-	body   io.ReadCloser
-	cancel context.CancelFunc
-	limit  time.Duration
-	retire func()
-	ended  bool
+// timeoutBody limits the time that a response body may take to deliver more
+// data.
+type timeoutBody struct {
+	body            io.ReadCloser
+	cancel          context.CancelFunc
+	timeout         time.Duration
+	retireTransport func()
+	reachedEOF      bool
 }
 
 // Read implements io.Reader.
-func (b *serviceBody) Read(p []byte) (int, error) {
-	timer := time.AfterFunc(b.limit, b.cancel)
+func (b *timeoutBody) Read(p []byte) (int, error) {
+	timer := time.AfterFunc(b.timeout, b.cancel)
 	n, err := b.body.Read(p)
 	if !timer.Stop() && err != nil {
 		err = serving.ErrStalled
 	}
-	b.ended = b.ended || err == io.EOF
+	b.reachedEOF = b.reachedEOF || err == io.EOF
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *serviceBody) Close() error {
+func (b *timeoutBody) Close() error {
 	b.cancel()
-	if !b.ended {
-		b.retire()
+	if !b.reachedEOF {
+		b.retireTransport()
 	}
 	return b.body.Close()
 }
 
-// hopByHop lists the fields that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the header fields that apply to a single connection (RFC
+// 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop deletes the fields that must not be passed on, with those
-// that the Connection field names.
+// RemoveHopByHop deletes the hop-by-hop header fields, including those that the
+// Connection field lists.
 func RemoveHopByHop(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for _, name := range splitList(value) {
 			header.Del(name)
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/internal/adapter/targethttp/transport.go
+++ b/internal/adapter/targethttp/transport.go
@@ -10,96 +10,96 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Limits of connections to targets.
+// Limits on connections to targets.
 const (
 	dialTimeout = time.Second
-	// pingAfter and pingTimeout bound how long a silent HTTP/2 connection
-	// goes unnoticed while no request on it has reached its own limit.
-	pingAfter   = time.Second
-	pingTimeout = time.Second
-	// streamWindowBytes bounds what one HTTP/2 stream buffers for a slow
-	// caller.
-	streamWindowBytes = 64 << 10
-	maxHeaderBytes    = 64 << 10
-	idleConnTimeout   = 30 * time.Second
-	// maxShared bounds the HTTP/2 connections kept; the design size has 600
-	// engines.
-	maxShared = 2048
+	// sendPingTimeout and pingTimeout limit how long an unresponsive HTTP/2
+	// connection remains undetected when no request on it has timed out yet.
+	sendPingTimeout = time.Second
+	pingTimeout     = time.Second
+	// streamWindowBytes limits the data buffered per HTTP/2 stream when the
+	// caller reads slowly.
+	streamWindowBytes      = 64 << 10
+	maxResponseHeaderBytes = 64 << 10
+	idleConnTimeout        = 30 * time.Second
+	// maxHTTP2Transports limits the HTTP/2 transports, one per target URL. The
+	// system is designed for 600 engines.
+	maxHTTP2Transports = 2048
 )
 
 // Dialer opens connections to targets.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// transports holds the connections to targets. An HTTP/1.1 connection carries
-// one request: an idle connection may have gone silent without notice, and a
-// request that is sent on one would wait for its whole limit, while a dial
-// costs one round trip. HTTP/2 connections are shared and are replaced as soon
-// as one request on them stalls.
-type transports struct {
+// transportPool holds the HTTP transports to targets. An HTTP/1.1 connection
+// carries only one request: an idle connection may have failed without notice,
+// and a request sent on it would wait for its whole timeout, whereas a dial
+// costs one round trip. HTTP/2 connections are shared by requests and replaced
+// as soon as one request on them stalls.
+type transportPool struct {
 	dial  Dialer
-	plain *http.Transport
+	http1 *http.Transport
 
-	mu     sync.Mutex
-	shared map[string]*http.Transport
+	mu    sync.Mutex
+	http2 map[string]*http.Transport
 }
 
-func newTransports(dial Dialer) *transports {
+func newTransportPool(dial Dialer) *transportPool {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	return &transports{
+	return &transportPool{
 		dial: dial,
-		plain: &http.Transport{
+		http1: &http.Transport{
 			DialContext:            dial,
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: maxHeaderBytes,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		},
-		shared: make(map[string]*http.Transport),
+		http2: make(map[string]*http.Transport),
 	}
 }
 
-// forTarget returns the transport for new requests to t.
-func (t *transports) forTarget(to *target.Target) *http.Transport {
-	if !to.Capabilities.HTTP2 {
-		return t.plain
+// forTarget returns the transport for new requests to dest.
+func (t *transportPool) forTarget(dest *target.Target) *http.Transport {
+	if !dest.Capabilities.HTTP2 {
+		return t.http1
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if rt, ok := t.shared[to.URL]; ok {
+	if rt, ok := t.http2[dest.URL]; ok {
 		return rt
 	}
 	t.evict()
-	rt := t.newShared()
-	t.shared[to.URL] = rt
+	rt := t.newHTTP2Transport()
+	t.http2[dest.URL] = rt
 	return rt
 }
 
-// evict makes room by dropping any one connection; running requests on it end
-// normally.
-func (t *transports) evict() {
-	if len(t.shared) < maxShared {
+// evict makes room for a new HTTP/2 transport by removing an arbitrary one.
+// Requests in progress on it finish normally.
+func (t *transportPool) evict() {
+	if len(t.http2) < maxHTTP2Transports {
 		return
 	}
-	for url, rt := range t.shared {
-		delete(t.shared, url)
+	for url, rt := range t.http2 {
+		delete(t.http2, url)
 		rt.CloseIdleConnections()
 		return
 	}
 }
 
-func (t *transports) newShared() *http.Transport {
+func (t *transportPool) newHTTP2Transport() *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP2(true)
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Transport{
 		DialContext:            t.dial,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeaderBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		IdleConnTimeout:        idleConnTimeout,
 		Protocols:              protocols,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout:           pingAfter,
+			SendPingTimeout:           sendPingTimeout,
 			PingTimeout:               pingTimeout,
 			WriteByteTimeout:          pingTimeout,
 			MaxReceiveBufferPerStream: streamWindowBytes,
@@ -107,15 +107,16 @@
 	}
 }
 
-// retire makes sure that no new request uses a connection on which one
-// stalled. Requests that still run on it are left to their own limits.
-func (t *transports) retire(to *target.Target, rt *http.Transport) {
-	if rt == t.plain {
+// retire removes a transport on which a request stalled, so that no new request
+// uses its connection. Requests in progress on it continue until their own
+// timeouts.
+func (t *transportPool) retire(dest *target.Target, rt *http.Transport) {
+	if rt == t.http1 {
 		return
 	}
 	t.mu.Lock()
-	if t.shared[to.URL] == rt {
-		delete(t.shared, to.URL)
+	if t.http2[dest.URL] == rt {
+		delete(t.http2, dest.URL)
 	}
 	t.mu.Unlock()
 	rt.CloseIdleConnections()
