--- a/internal/adapter/targetconn/pool.go
+++ b/internal/adapter/targetconn/pool.go
@@ -1,5 +1,5 @@
-// Package targetconn keeps HTTP/1.1 connections to targets. In contrast to
-// http.Transport it never sends a request again by itself, and it tells whether
+// Package targetconn pools HTTP/1.1 connections to targets. Unlike
+// http.Transport, it never retries a request on its own, and it reports whether
 // any byte of a request may have reached the target.
 package targetconn
 
@@ -21,69 +21,74 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection. It covers the lost first
-	// packet of a path between regions, and finds a silent target.
+	// dialTimeout limits how long a dial may take. It allows for the loss of
+	// the first packet between regions, and detects an unresponsive target.
 	dialTimeout = 450 * time.Millisecond
-	// userTimeout is how long sent bytes may stay without acknowledgement. It
-	// finds connections that went silent, and outlasts two lost packets.
-	userTimeout = 1200 * time.Millisecond
-	// idleDefault is how long an idle connection is kept if the target does
-	// not state its own limit.
-	idleDefault = 4 * time.Second
-	// idleMargin is taken off the limit that a target states, so that a
-	// request does not cross the close.
-	idleMargin = 700 * time.Millisecond
-	// maxIdle bounds the idle connections to one target that states no limit.
-	maxIdle = 24
-	// readBuffer holds the head of an answer or several events.
-	readBuffer = 8 << 10
+	// tcpUserTimeout limits how long sent data can remain unacknowledged
+	// (TCP_USER_TIMEOUT). It detects connections that failed silently, and
+	// tolerates the loss of two packets.
+	tcpUserTimeout = 1200 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is kept if the target
+	// does not send a Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the Keep-Alive timeout of a target,
+	// so that no request is sent while the target closes the connection.
+	idleTimeoutMargin = 700 * time.Millisecond
+	// maxIdlePerTarget limits the idle connections to one target. SetLimits can
+	// only lower this limit.
+	maxIdlePerTarget = 24
+	// readBufferBytes is large enough for a response header or several stream
+	// events.
+	readBufferBytes = 8 << 10
 )
 
 // ErrNotSent means that no byte of the request can have reached the target.
 var ErrNotSent = errors.New("request was not sent")
 
-// Pool holds idle connections by address.
+// Pool holds idle connections, keyed by address.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*Conn
-	// limits bounds the idle connections by address.
-	limits map[string]int
-	// opened counts new connections.
+	// idleLimits is the maximum number of idle connections by address.
+	idleLimits map[string]int
+	// opened is the number of connections opened so far.
 	opened int64
 }
 
 // New returns an empty pool.
 func New() *Pool { return &Pool{idle: make(map[string][]*Conn)} }
 
-// Conn is one connection. It carries one request at a time.
+// Conn is a connection to a target. It carries one request at a time.
 type Conn struct {
 	net.Conn
 	Reader *bufio.Reader
-	// Reused is set if the connection has carried a request before.
+	// Reused is true if the connection has carried a request before.
 	Reused  bool
 	address string
-	// expires is when the target may close the idle connection.
-	expires time.Time
-	limit   time.Duration
+	// expires is when the idle connection must no longer be used, because the
+	// target may close it.
+	expires     time.Time
+	idleTimeout time.Duration
 }
 
-// Get returns an idle connection that is younger than maxAge, or opens one.
-func (p *Pool) Get(ctx context.Context, address string, maxAge time.Duration) (*Conn, error) {
-	if c := p.take(address, maxAge); c != nil {
+// Get returns a connection that has been idle for less than maxIdleTime, or
+// opens a new one.
+func (p *Pool) Get(ctx context.Context, address string, maxIdleTime time.Duration) (*Conn, error) {
+	if c := p.takeIdle(address, maxIdleTime); c != nil {
 		return c, nil
 	}
 	return p.dial(ctx, address)
 }
 
-func (p *Pool) take(address string, maxAge time.Duration) *Conn {
+func (p *Pool) takeIdle(address string, maxIdleTime time.Duration) *Conn {
 	now := time.Now()
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil {
 			return nil
 		}
-		idle := now.Sub(c.expires.Add(-c.limit))
-		if now.Before(c.expires) && idle < maxAge && c.quiet() {
+		idle := now.Sub(c.expires.Add(-c.idleTimeout))
+		if now.Before(c.expires) && idle < maxIdleTime && c.reusable() {
 			c.Reused = true
 			return c
 		}
@@ -91,7 +96,7 @@
 	}
 }
 
-func (p *Pool) pop(address string) *Conn {
+func (p *Pool) popIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -104,9 +109,9 @@
 	return c
 }
 
-// quiet reports whether the target has neither closed the connection nor sent
-// bytes that belong to no request.
-func (c *Conn) quiet() bool {
+// reusable reports whether the target has neither closed the connection nor
+// sent data that belongs to no request.
+func (c *Conn) reusable() bool {
 	if c.Reader.Buffered() > 0 {
 		return false
 	}
@@ -114,18 +119,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN
+		reusable = e == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*Conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.AckTimeout(userTimeout)}
+	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.AckTimeout(tcpUserTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
@@ -133,41 +138,41 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(conn, readBuffer), address: address}, nil
+	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(conn, readBufferBytes), address: address}, nil
 }
 
-// Try opens a connection and keeps it for the next request.
+// Try opens a connection and adds it to the pool for the next request.
 func (p *Pool) Try(ctx context.Context, address string) error {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	p.keep(c, idleDefault)
+	p.putIdle(c, defaultIdleTimeout)
 	return nil
 }
 
-// Put keeps a connection whose answer was read whole, unless the answer forbids
-// it.
-func (p *Pool) Put(c *Conn, answer *http.Response) {
-	limit := idleLimit(answer)
-	if answer.Close || limit <= 0 || c.Reader.Buffered() > 0 {
+// Put returns a connection to the pool after its response was read completely,
+// or closes it if the response does not allow reuse.
+func (p *Pool) Put(c *Conn, resp *http.Response) {
+	idleTimeout := idleTimeoutOf(resp)
+	if resp.Close || idleTimeout <= 0 || c.Reader.Buffered() > 0 {
 		_ = c.Conn.Close()
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	p.keep(c, limit)
+	p.putIdle(c, idleTimeout)
 }
 
-func (p *Pool) keep(c *Conn, idle time.Duration) {
-	c.limit = idle
-	c.expires = time.Now().Add(idle)
+func (p *Pool) putIdle(c *Conn, idleTimeout time.Duration) {
+	c.idleTimeout = idleTimeout
+	c.expires = time.Now().Add(idleTimeout)
 	p.mu.Lock()
 	list := p.idle[c.address]
-	limit, limited := p.limits[c.address]
+	limit, limited := p.idleLimits[c.address]
 	if !limited {
-		limit = maxIdle
+		limit = maxIdlePerTarget
 	}
-	keep := len(list) < min(limit, maxIdle)
+	keep := len(list) < min(limit, maxIdlePerTarget)
 	if keep {
 		p.idle[c.address] = append(list, c)
 	}
@@ -177,30 +182,31 @@
 	}
 }
 
-// idleLimit returns how long the connection may stay idle after answer.
-func idleLimit(answer *http.Response) time.Duration {
-	for _, field := range strings.Split(answer.Header.Get("Keep-Alive"), ",") {
+// idleTimeoutOf returns how long the connection may stay idle after resp.
+func idleTimeoutOf(resp *http.Response) time.Duration {
+	for _, field := range strings.Split(resp.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			return time.Duration(seconds)*time.Second - idleMargin
+			return time.Duration(seconds)*time.Second - idleTimeoutMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// SetLimits bounds the idle connections by address. A target accepts a number of
-// connections from all VMs together, and resets those beyond it.
+// SetLimits sets the maximum number of idle connections by address. A target
+// accepts a limited number of connections from all VMs together and resets
+// those beyond it.
 func (p *Pool) SetLimits(limits map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits = limits
+	p.idleLimits = limits
 }
 
-// Sweep closes idle connections that have expired and those to addresses that
-// live does not name.
+// Sweep closes idle connections that have expired or whose address is not in
+// live.
 func (p *Pool) Sweep(live map[string]bool) {
 	now := time.Now()
 	var closing []*Conn
--- a/internal/adapter/targetconn/pool_test.go
+++ b/internal/adapter/targetconn/pool_test.go
@@ -12,8 +12,9 @@
 	"github.com/cuminwing/cuminwing/internal/loopback"
 )
 
-// acceptor hands over the connections to a target.
-func acceptor(t *testing.T, accepted func(net.Conn)) string {
+// listen accepts connections on a loopback address, passes each to accepted,
+// and returns the address.
+func listen(t *testing.T, accepted func(net.Conn)) string {
 	t.Helper()
 	address, stop, err := loopback.Serve(accepted)
 	if err != nil {
@@ -32,9 +33,10 @@
 	return c
 }
 
-// Guards against more idle connections than a target accepts from all VMs.
+// Guards against idle connections beyond the number that the target accepts
+// from all VMs.
 func TestIdleConnectionsStayWithinTheLimit(t *testing.T) {
-	address := acceptor(t, func(net.Conn) {})
+	address := listen(t, func(net.Conn) {})
 	p := New()
 	p.SetLimits(map[string]int{address: 2})
 	var conns []*Conn
@@ -51,47 +53,47 @@
 		}
 	}
 	if reused != 2 {
-		t.Errorf("%d connections were kept, want 2", reused)
+		t.Errorf("%d idle connections were reused, want 2", reused)
 	}
 }
 
-// Guards against a request on a connection that the target has closed, or on
-// which it has sent bytes that belong to no request.
-func TestClosedAndSpoiltConnectionsAreNotUsed(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn){
-		"closed": func(c net.Conn) { c.Close() },
-		"spoilt": func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
+// Guards against sending a request on a connection that the target has closed,
+// or on which it has sent data that belongs to no request.
+func TestClosedOrDesynchronizedConnectionsAreNotReused(t *testing.T) {
+	for name, breakConn := range map[string]func(net.Conn){
+		"closed":           func(c net.Conn) { c.Close() },
+		"unsolicited data": func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
 	} {
 		accepted := make(chan net.Conn, 4)
-		address := acceptor(t, func(c net.Conn) { accepted <- c })
+		address := listen(t, func(c net.Conn) { accepted <- c })
 		p := New()
 		p.Put(get(t, p, address), &http.Response{})
-		spoil(<-accepted)
+		breakConn(<-accepted)
 		time.Sleep(50 * time.Millisecond)
 		if get(t, p, address).Reused {
-			t.Errorf("%s connection is used again", name)
+			t.Errorf("%s: connection was reused", name)
 		}
 	}
 }
 
-// Guards against a connection that is used after the time that its target has
-// stated, or for a request that wants a fresher one.
-func TestIdleTimeOfTheTargetIsKept(t *testing.T) {
-	address := acceptor(t, func(net.Conn) {})
+// Guards against reusing a connection after the Keep-Alive timeout of its
+// target, or after a longer idle time than the request accepts.
+func TestKeepAliveTimeoutOfTheTargetIsRespected(t *testing.T) {
+	address := listen(t, func(net.Conn) {})
 	p := New()
 	p.Put(get(t, p, address), &http.Response{Header: http.Header{"Keep-Alive": {"timeout=0"}}})
 	if get(t, p, address).Reused {
-		t.Error("connection with an idle time of 0 was kept")
+		t.Error("connection with a Keep-Alive timeout of 0 was reused")
 	}
 	p.Put(get(t, p, address), &http.Response{Header: http.Header{"Keep-Alive": {"timeout=5, max=100"}}})
 	time.Sleep(5 * time.Millisecond)
 	c, err := p.Get(context.Background(), address, time.Millisecond)
 	if err != nil || c.Reused {
-		t.Errorf("connection idle for over a millisecond was used: %v", err)
+		t.Errorf("connection idle for more than the accepted 1 ms was reused, or Get failed: %v", err)
 	}
 }
 
-// Guards against a dial failure that counts as a request that may have run.
+// Guards against a failed dial that is reported as a request that may have run.
 func TestFailedDialMeansNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
