--- a/internal/adapter/disk/erasure_bench_test.go
+++ b/internal/adapter/disk/erasure_bench_test.go
@@ -9,77 +9,79 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// codeShapes are the voter sets and numbers of data blocks that are compared.
-var codeShapes = []struct{ voters, data int }{{3, 2}, {5, 2}, {5, 3}}
+// codeConfigs lists the numbers of voters and data shards to compare.
+var codeConfigs = []struct{ voters, data int }{{3, 2}, {5, 2}, {5, 3}}
 
-var codeSizes = []int{200, 1 << 10, 4 << 10, 16 << 10, 64 << 10}
+var entrySizes = []int{200, 1 << 10, 4 << 10, 16 << 10, 64 << 10}
 
-// BenchmarkErasure measures what erasure-coded replication would add for an
-// entry: encoding at the leader, and rebuilding from the first data blocks
-// lost. The metrics compare the bytes that a leader sends.
+// BenchmarkErasure measures the cost that erasure-coded replication would add
+// per entry: encoding it on the leader, and reconstructing it after the first
+// data shards are lost. The metrics compare the bytes that a leader sends with
+// coding (coded-B) and with full copies (copied-B).
 func BenchmarkErasure(b *testing.B) {
-	for _, shape := range codeShapes {
-		for _, size := range codeSizes {
-			name := fmt.Sprintf("voters=%d/data=%d/size=%d", shape.voters, shape.data, size)
-			b.Run("encode/"+name, func(b *testing.B) { encodeEntries(b, shape.voters, shape.data, size) })
-			b.Run("rebuild/"+name, func(b *testing.B) { rebuildEntries(b, shape.voters, shape.data, size) })
+	for _, config := range codeConfigs {
+		for _, size := range entrySizes {
+			name := fmt.Sprintf("voters=%d/data=%d/size=%d", config.voters, config.data, size)
+			b.Run("encode/"+name, func(b *testing.B) { benchmarkEncode(b, config.voters, config.data, size) })
+			b.Run("rebuild/"+name, func(b *testing.B) { benchmarkRebuild(b, config.voters, config.data, size) })
 		}
 	}
 }
 
-func encodeEntries(b *testing.B, voters, data, size int) {
-	code := newCode(b, voters, data)
+func benchmarkEncode(b *testing.B, voters, data, size int) {
+	encoder := newEncoder(b, voters, data)
 	entry := make([]byte, size)
 	for b.Loop() {
-		encodeEntry(b, code, entry)
+		encodeEntry(b, encoder, entry)
 	}
-	// Each block needs the position, the kind, the block number and the size
-	// of the entry, as a full copy needs the position and the kind.
-	block := (size + data - 1) / data
-	b.ReportMetric(float64((voters-1)*(block+blockOverhead)), "coded-B")
+	// A full copy carries the position and kind of the entry. A shard carries
+	// the shard number and the size of the entry as well.
+	shardBytes := (size + data - 1) / data
+	b.ReportMetric(float64((voters-1)*(shardBytes+shardOverhead)), "coded-B")
 	b.ReportMetric(float64((voters-1)*(size+entryOverhead)), "copied-B")
 }
 
 const (
 	entryOverhead = 12
-	blockOverhead = entryOverhead + 4
+	shardOverhead = entryOverhead + 4
 )
 
-func newCode(b *testing.B, voters, data int) reedsolomon.Encoder {
-	code, err := reedsolomon.New(data, voters-data)
+func newEncoder(b *testing.B, voters, data int) reedsolomon.Encoder {
+	encoder, err := reedsolomon.New(data, voters-data)
 	if err != nil {
 		b.Fatal(err)
 	}
-	return code
+	return encoder
 }
 
-func encodeEntry(b *testing.B, code reedsolomon.Encoder, entry []byte) [][]byte {
-	blocks, err := code.Split(entry)
+func encodeEntry(b *testing.B, encoder reedsolomon.Encoder, entry []byte) [][]byte {
+	shards, err := encoder.Split(entry)
 	if err == nil {
-		err = code.Encode(blocks)
+		err = encoder.Encode(shards)
 	}
 	if err != nil {
 		b.Fatal(err)
 	}
-	return blocks
+	return shards
 }
 
-func rebuildEntries(b *testing.B, voters, data, size int) {
-	code := newCode(b, voters, data)
-	blocks := encodeEntry(b, code, make([]byte, size))
+func benchmarkRebuild(b *testing.B, voters, data, size int) {
+	encoder := newEncoder(b, voters, data)
+	shards := encodeEntry(b, encoder, make([]byte, size))
 	for b.Loop() {
 		for i := range voters - data {
-			blocks[i] = blocks[i][:0]
+			shards[i] = shards[i][:0]
 		}
-		if err := code.ReconstructData(blocks); err != nil {
+		if err := encoder.ReconstructData(shards); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkSave measures a synced write of one entry, whole and as a block.
+// BenchmarkSave measures a synced write of a full entry (data=1) and of one of
+// its shards (data>1).
 func BenchmarkSave(b *testing.B) {
-	for _, size := range codeSizes {
+	for _, size := range entrySizes {
 		for _, data := range []int{1, 2, 3} {
 			b.Run(fmt.Sprintf("size=%d/data=%d", size, data), func(b *testing.B) {
 				s, _, _, err := Open(b.TempDir(), Options{})
@@ -87,11 +89,11 @@
 					b.Fatal(err)
 				}
 				defer func() { _ = s.Close() }()
-				body := make([]byte, (size+data-1)/data)
+				shard := make([]byte, (size+data-1)/data)
 				index := uint64(0)
 				for b.Loop() {
 					index++
-					ready := raft.Ready{Entries: []raft.Entry{{Index: index, Term: 1, Kind: raft.EntryCommand, Data: body}}}
+					ready := raft.Ready{Entries: []raft.Entry{{Index: index, Term: 1, Kind: raft.EntryCommand, Data: shard}}}
 					if err := s.Save(&ready); err != nil {
 						b.Fatal(err)
 					}
--- a/internal/adapter/disk/file.go
+++ b/internal/adapter/disk/file.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// File is an open file that is written. Tests replace it to inject faults.
+// File is a file that is open for writing. Tests replace it to inject faults.
 type File interface {
 	io.Writer
 	Sync() error
@@ -16,31 +16,33 @@
 	Close() error
 }
 
-// OpenFunc opens a file for writing, creating it if needed.
+// OpenFunc opens a file for writing and creates it if it does not exist.
 type OpenFunc func(name string, flag int) (File, error)
 
 const (
-	fileMode   = 0o600
-	folderMode = 0o700
+	fileMode = 0o600
+	dirMode  = 0o700
 )
 
 func openFile(name string, flag int) (File, error) {
 	return os.OpenFile(name, flag|os.O_CREATE, fileMode)
 }
 
-// syncFolder makes creations, renames and removals in a folder durable.
-func syncFolder(name string) error {
-	folder, err := os.Open(name)
+// syncDir syncs a directory, which makes the creation, renaming and removal of
+// its files durable.
+func syncDir(name string) error {
+	dir, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// writeAtomic writes a file beside name, syncs it and renames it.
-func (s *Store) writeAtomic(name string, parts ...[]byte) error {
-	temporary := name + temporarySuffix
-	f, err := s.open(temporary, os.O_WRONLY|os.O_TRUNC)
+// writeFileAtomic writes and syncs a temporary file in the directory of name
+// and renames it to name.
+func (s *Store) writeFileAtomic(name string, parts ...[]byte) error {
+	temp := name + tempSuffix
+	f, err := s.open(temp, os.O_WRONLY|os.O_TRUNC)
 	if err != nil {
 		return err
 	}
@@ -55,8 +57,8 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(temporary, name); err != nil {
+	if err := os.Rename(temp, name); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(name))
+	return syncDir(filepath.Dir(name))
 }
--- a/internal/adapter/disk/record.go
+++ b/internal/adapter/disk/record.go
@@ -13,10 +13,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// A record is a header and a body. The header is the length of the body, its
-// CRC-32C and the number of the record, followed by the CRC-32C of these
-// fields. One record holds everything of one Save, so that a write that a
-// crash tore can only be the last record.
+// A record is a header followed by a body. The header holds the length of the
+// body, the CRC-32C of the body, the number of the record, and the CRC-32C of
+// these three fields. One record holds all data of one Save, so only the last
+// record can be torn by a crash.
 const (
 	recordHeaderBytes = 4 + 4 + 8 + 4
 	maxRecordBytes    = 1 << 30
@@ -24,16 +24,16 @@
 
 // record is the content of one Save.
 type record struct {
-	state *raft.HardState
-	// reset is set if a snapshot replaced all earlier entries.
+	hardState *raft.HardState
+	// reset is true if a snapshot has replaced all earlier entries.
 	reset   bool
 	entries []raft.Entry
 }
 
-// Flags of a record body.
+// Flags at the start of a record body.
 const (
-	hasState = 1 << iota
-	hasReset
+	flagHardState = 1 << iota
+	flagReset
 )
 
 func appendRecord(buf []byte, number uint64, r record) []byte {
@@ -51,16 +51,16 @@
 
 func appendBody(buf []byte, r record) []byte {
 	flags := uint64(0)
-	if r.state != nil {
-		flags |= hasState
+	if r.hardState != nil {
+		flags |= flagHardState
 	}
 	if r.reset {
-		flags |= hasReset
+		flags |= flagReset
 	}
 	buf = protowire.AppendVarint(buf, flags)
-	if r.state != nil {
-		buf = protowire.AppendVarint(buf, r.state.Term)
-		buf = protowire.AppendString(buf, r.state.Vote)
+	if r.hardState != nil {
+		buf = protowire.AppendVarint(buf, r.hardState.Term)
+		buf = protowire.AppendString(buf, r.hardState.Vote)
 	}
 	for _, e := range r.entries {
 		buf = protowire.AppendVarint(buf, e.Index)
@@ -71,46 +71,47 @@
 	return buf
 }
 
-var errBody = errors.New("record body is damaged")
+var errDamagedBody = errors.New("record body is malformed")
 
-// parser reads fields until the first damage.
-type parser struct {
+// fieldReader decodes consecutive fields. After the first malformed field, err
+// is set and all further fields are zero.
+type fieldReader struct {
 	data []byte
 	err  error
 }
 
-func (p *parser) varint() uint64 {
+func (p *fieldReader) varint() uint64 {
 	v, n := protowire.ConsumeVarint(p.data)
-	p.skip(n)
+	p.advance(n)
 	return v
 }
 
-func (p *parser) bytes() []byte {
+func (p *fieldReader) bytes() []byte {
 	v, n := protowire.ConsumeBytes(p.data)
-	p.skip(n)
+	p.advance(n)
 	return v
 }
 
-func (p *parser) skip(n int) {
+func (p *fieldReader) advance(n int) {
 	if n < 0 {
-		p.err = errBody
+		p.err = errDamagedBody
 		p.data = nil
 		return
 	}
 	p.data = p.data[n:]
 }
 
-func parseBody(body []byte) (record, error) {
+func decodeBody(body []byte) (record, error) {
 	var r record
-	p := &parser{data: body}
+	p := &fieldReader{data: body}
 	flags := p.varint()
-	if flags&^(hasState|hasReset) != 0 {
-		return r, fmt.Errorf("record has unknown flags %#x", flags)
+	if flags&^(flagHardState|flagReset) != 0 {
+		return r, fmt.Errorf("record body has unknown flags %#x", flags)
 	}
-	if flags&hasState != 0 {
-		r.state = &raft.HardState{Term: p.varint(), Vote: string(p.bytes())}
+	if flags&flagHardState != 0 {
+		r.hardState = &raft.HardState{Term: p.varint(), Vote: string(p.bytes())}
 	}
-	r.reset = flags&hasReset != 0
+	r.reset = flags&flagReset != 0
 	for len(p.data) > 0 {
 		e := raft.Entry{Index: p.varint(), Term: p.varint(), Kind: raft.EntryKind(p.varint())}
 		e.Data = p.bytes()
@@ -119,8 +120,8 @@
 	return r, p.err
 }
 
-// readRecord returns the body of the record at the start of data, and false
-// if there is no whole and undamaged one.
+// readRecord returns the body and number of the record at the start of data. It
+// reports false if that record is incomplete or damaged.
 func readRecord(data []byte) (body []byte, number uint64, ok bool) {
 	size, number, ok := readHeader(data)
 	if !ok || uint64(len(data)) < recordHeaderBytes+size {
@@ -144,9 +145,9 @@
 	return size, binary.LittleEndian.Uint64(data[8:]), size <= maxRecordBytes
 }
 
-// laterRecord reports whether data holds the header of a record that was
-// written after the one numbered expected.
-func laterRecord(data []byte, expected uint64) bool {
+// containsLaterRecord reports whether data contains the header of a record with
+// a number greater than expected.
+func containsLaterRecord(data []byte, expected uint64) bool {
 	for ; len(data) >= recordHeaderBytes; data = data[1:] {
 		if _, number, ok := readHeader(data); ok && number > expected {
 			return true
--- a/internal/adapter/disk/segments.go
+++ b/internal/adapter/disk/segments.go
@@ -8,96 +8,100 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// loadSegments replays every segment in order and cuts a torn tail.
+// loadSegments replays all segments in order and truncates a torn record at the
+// end of the last one.
 func (s *Store) loadSegments() ([]raft.Entry, error) {
-	names, err := s.list(segmentPrefix)
+	names, err := s.listFiles(segmentPrefix)
 	if err != nil {
 		return nil, err
 	}
-	replay := &replay{store: s}
+	r := &replayer{store: s}
 	for i, name := range names {
-		if err := replay.segment(name, i == 0, i == len(names)-1); err != nil {
+		if err := r.replaySegment(name, i == 0, i == len(names)-1); err != nil {
 			return nil, err
 		}
 	}
-	return replay.entries, nil
+	return r.entries, nil
 }
 
-// replay rebuilds the log from records.
-type replay struct {
+// replayer rebuilds the hard state and the log entries from records.
+type replayer struct {
 	store   *Store
 	entries []raft.Entry
 }
 
-func (r *replay) segment(name string, first, last bool) error {
-	path := filepath.Join(r.store.folder, name)
+func (r *replayer) replaySegment(name string, first, last bool) error {
+	path := filepath.Join(r.store.dir, name)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	number, err := checkHeader(path, segmentMagic, data)
+	number, err := decodeFileHeader(path, segmentMagic, data)
 	if err != nil {
-		if last && r.unfinished(data) {
+		if last && r.isUnfinished(data) {
 			return r.removeUnfinished(path)
 		}
 		return err
 	}
 	if name != fmt.Sprintf("%s%016x", segmentPrefix, number) {
-		return &CorruptError{path, 0, "file name does not match the header"}
+		return &CorruptError{path, 0, "record number in the file name differs from the one in the file header"}
 	}
 	if first {
-		r.store.number = number
+		r.store.nextRecord = number
 	}
-	if number != r.store.number {
-		return &CorruptError{path, 0, fmt.Sprintf("first record is %d, want %d", number, r.store.number)}
+	if number != r.store.nextRecord {
+		return &CorruptError{path, 0, fmt.Sprintf("segment starts with record %d, want %d", number, r.store.nextRecord)}
 	}
-	r.store.segments = append(r.store.segments, segment{name: name, first: number})
-	return r.records(path, data, last)
+	r.store.segments = append(r.store.segments, segment{name: name, firstRecord: number})
+	return r.replayRecords(path, data, last)
 }
 
-// unfinished reports whether a file has neither a header nor any record.
-func (r *replay) unfinished(data []byte) bool {
+// isUnfinished reports whether a segment contains neither a file header nor the
+// header of any record that has not been replayed yet.
+func (r *replayer) isUnfinished(data []byte) bool {
 	header := len(data) >= headerBytes && string(data[:len(segmentMagic)]) == segmentMagic
-	return !header && !laterRecord(data, r.store.number-1)
+	return !header && !containsLaterRecord(data, r.store.nextRecord-1)
 }
 
-// removeUnfinished removes a segment whose header was not written in full
-// before a crash; nothing in it was promised.
-func (r *replay) removeUnfinished(path string) error {
+// removeUnfinished removes a segment whose file header was not completely
+// written before a crash. No promise can depend on such a segment.
+func (r *replayer) removeUnfinished(path string) error {
 	if err := os.Remove(path); err != nil {
 		return err
 	}
-	return syncFolder(r.store.folder)
+	return syncDir(r.store.dir)
 }
 
-func (r *replay) records(path string, data []byte, last bool) error {
+func (r *replayer) replayRecords(path string, data []byte, last bool) error {
 	offset := int64(headerBytes)
 	for offset < int64(len(data)) {
 		body, number, ok := readRecord(data[offset:])
 		if !ok {
-			return r.damaged(path, data, offset, last)
+			return r.truncateTornTail(path, data, offset, last)
 		}
-		if number != r.store.number {
-			return &CorruptError{path, offset, fmt.Sprintf("record is %d, want %d", number, r.store.number)}
+		if number != r.store.nextRecord {
+			return &CorruptError{path, offset, fmt.Sprintf("record number is %d, want %d", number, r.store.nextRecord)}
 		}
-		rec, err := parseBody(body)
+		rec, err := decodeBody(body)
 		if err != nil {
 			return &CorruptError{path, offset, err.Error()}
 		}
 		if err := r.apply(rec); err != nil {
 			return &CorruptError{path, offset, err.Error()}
 		}
-		r.store.number++
+		r.store.nextRecord++
 		offset += recordHeaderBytes + int64(len(body))
 	}
 	return nil
 }
 
-// damaged cuts a torn tail. The record that a crash tore was not synced, so
-// nothing was written after it; a later record means that synced data is
-// damaged, and to start without it could break a promise.
-func (r *replay) damaged(path string, data []byte, offset int64, last bool) error {
-	if !last || laterRecord(data[offset+1:], r.store.number) {
+// truncateTornTail truncates the last segment at a damaged record. A record torn
+// by a crash was never synced, so no later record follows it. If a later record
+// exists, synced data is damaged, and truncateTornTail returns a CorruptError:
+// starting without that data could break a promise, such as a vote or an
+// acknowledgement.
+func (r *replayer) truncateTornTail(path string, data []byte, offset int64, last bool) error {
+	if !last || containsLaterRecord(data[offset+1:], r.store.nextRecord) {
 		return &CorruptError{path, offset, "record is damaged"}
 	}
 	f, err := r.store.open(path, os.O_WRONLY)
@@ -111,26 +115,26 @@
 	return f.Sync()
 }
 
-func (r *replay) apply(rec record) error {
-	if rec.state != nil {
-		r.store.state = *rec.state
+func (r *replayer) apply(rec record) error {
+	if rec.hardState != nil {
+		r.store.hardState = *rec.hardState
 	}
 	if rec.reset {
 		r.entries = nil
 	}
 	for _, e := range rec.entries {
-		if err := r.add(e); err != nil {
+		if err := r.appendEntry(e); err != nil {
 			return err
 		}
 		current := &r.store.segments[len(r.store.segments)-1]
-		current.last = max(current.last, e.Index)
+		current.lastEntry = max(current.lastEntry, e.Index)
 	}
 	return nil
 }
 
-// add appends an entry; an entry at an occupied position replaces it and all
-// that follow.
-func (r *replay) add(e raft.Entry) error {
+// appendEntry appends an entry. If the log already has an entry with the same
+// index, the new entry replaces it and all entries after it.
+func (r *replayer) appendEntry(e raft.Entry) error {
 	if len(r.entries) == 0 {
 		r.entries = append(r.entries, e)
 		return nil
@@ -139,7 +143,7 @@
 	next := first + uint64(len(r.entries))
 	switch {
 	case e.Index > next:
-		return fmt.Errorf("entry %d follows entry %d", e.Index, next-1)
+		return fmt.Errorf("gap in the log: entry %d follows entry %d", e.Index, next-1)
 	case e.Index <= first:
 		r.entries = append(r.entries[:0], e)
 	default:
@@ -148,12 +152,12 @@
 	return nil
 }
 
-// removeSegments removes the oldest segments that hold only entries up to the
-// snapshot.
-func (s *Store) removeSegments() error {
+// removeObsoleteSegments removes the oldest segments, as long as the snapshot
+// covers all their entries.
+func (s *Store) removeObsoleteSegments() error {
 	removed := false
-	for len(s.segments) > 1 && s.segments[0].last <= s.snapshot.Index {
-		if err := os.Remove(filepath.Join(s.folder, s.segments[0].name)); err != nil {
+	for len(s.segments) > 1 && s.segments[0].lastEntry <= s.snapshot.Index {
+		if err := os.Remove(filepath.Join(s.dir, s.segments[0].name)); err != nil {
 			return err
 		}
 		s.segments = s.segments[1:]
@@ -162,5 +166,5 @@
 	if !removed {
 		return nil
 	}
-	return syncFolder(s.folder)
+	return syncDir(s.dir)
 }
--- a/internal/adapter/disk/snapshot.go
+++ b/internal/adapter/disk/snapshot.go
@@ -14,82 +14,82 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// A snapshot file is the file header, the length of the description, the
-// CRC-32C of description and data, the description, and the data.
-const snapshotPreamble = 4 + 4
+// A snapshot file consists of the file header, the length of the metadata, the
+// CRC-32C of metadata and data, the metadata, and the data.
+const snapshotPreambleBytes = 4 + 4
 
-// SaveSnapshot writes a snapshot and removes the files that it makes
-// superfluous.
+// SaveSnapshot writes a snapshot and removes the files that it makes obsolete.
 func (s *Store) SaveSnapshot(snapshot raft.Snapshot) error {
-	if s.failed != nil {
+	if s.writeErr != nil {
 		return ErrFailed
 	}
-	if err := s.receiveSnapshot(&snapshot); err != nil {
-		s.failed = err
+	if err := s.installSnapshot(&snapshot); err != nil {
+		s.writeErr = err
 		return fmt.Errorf("write snapshot: %w", err)
 	}
 	return nil
 }
 
-func (s *Store) receiveSnapshot(snapshot *raft.Snapshot) error {
+func (s *Store) installSnapshot(snapshot *raft.Snapshot) error {
 	if err := s.WriteSnapshot(snapshot); err != nil {
 		return err
 	}
-	return s.adopt(snapshot.SnapshotMeta)
+	return s.activateSnapshot(snapshot.SnapshotMeta)
 }
 
-// WriteSnapshot writes a snapshot, which a restart may then use. It may run
-// while other methods do, so that a large state does not hold up the log.
+// WriteSnapshot writes a snapshot file, which a restart may load from then on.
+// It may run concurrently with other methods, so that writing a large state does
+// not delay log writes.
 func (s *Store) WriteSnapshot(snapshot *raft.Snapshot) error {
 	meta := encodeMeta(snapshot.SnapshotMeta)
-	preamble := make([]byte, snapshotPreamble)
+	preamble := make([]byte, snapshotPreambleBytes)
 	binary.LittleEndian.PutUint32(preamble, uint32(len(meta)))
 	sum := crc32.Update(crc32.Checksum(meta, castagnoli), castagnoli, snapshot.Data)
 	binary.LittleEndian.PutUint32(preamble[4:], sum)
-	header := fileHeader(snapshotMagic, snapshot.Index)
-	return s.writeAtomic(s.snapshotPath(snapshot.Index), header, preamble, meta, snapshot.Data)
+	header := encodeFileHeader(snapshotMagic, snapshot.Index)
+	return s.writeFileAtomic(s.snapshotPath(snapshot.Index), header, preamble, meta, snapshot.Data)
 }
 
-// Adopt makes a snapshot that WriteSnapshot has written the current one,
-// unless a newer one was received meanwhile.
+// Adopt makes a snapshot that WriteSnapshot has written the current one, unless
+// a newer snapshot has been received from the leader in the meantime.
 func (s *Store) Adopt(meta raft.SnapshotMeta) error {
-	if s.failed != nil {
+	if s.writeErr != nil {
 		return ErrFailed
 	}
 	if meta.Index <= s.snapshot.Index {
-		return s.removeSnapshots()
+		return s.removeOldSnapshots()
 	}
-	if err := s.adopt(meta); err != nil {
-		s.failed = err
-		return fmt.Errorf("adopt snapshot: %w", err)
+	if err := s.activateSnapshot(meta); err != nil {
+		s.writeErr = err
+		return fmt.Errorf("remove files made obsolete by the snapshot: %w", err)
 	}
 	return nil
 }
 
-func (s *Store) adopt(meta raft.SnapshotMeta) error {
+func (s *Store) activateSnapshot(meta raft.SnapshotMeta) error {
 	s.snapshot = meta
-	if err := s.removeSnapshots(); err != nil {
+	if err := s.removeOldSnapshots(); err != nil {
 		return err
 	}
-	return s.removeSegments()
+	return s.removeObsoleteSegments()
 }
 
 func (s *Store) snapshotPath(index uint64) string {
-	return filepath.Join(s.folder, fmt.Sprintf("%s%016x", snapshotPrefix, index))
+	return filepath.Join(s.dir, fmt.Sprintf("%s%016x", snapshotPrefix, index))
 }
 
-// removeSnapshots removes every snapshot older than the current one.
-func (s *Store) removeSnapshots() error {
-	names, err := s.list(snapshotPrefix)
+// removeOldSnapshots removes all snapshots older than the current one.
+func (s *Store) removeOldSnapshots() error {
+	names, err := s.listFiles(snapshotPrefix)
 	if err != nil {
 		return err
 	}
 	current := filepath.Base(s.snapshotPath(s.snapshot.Index))
 	for _, name := range names {
-		if name >= current || strings.HasSuffix(name, temporarySuffix) {
+		if name >= current || strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
-		if err := os.Remove(filepath.Join(s.folder, name)); err != nil {
+		if err := os.Remove(filepath.Join(s.dir, name)); err != nil {
 			return err
 		}
 	}
@@ -98,31 +98,31 @@
 
 // loadSnapshot reads the newest snapshot.
 func (s *Store) loadSnapshot() (raft.SnapshotMeta, []byte, error) {
-	names, err := s.list(snapshotPrefix)
+	names, err := s.listFiles(snapshotPrefix)
 	if err != nil || len(names) == 0 {
 		return raft.SnapshotMeta{}, nil, err
 	}
-	path := filepath.Join(s.folder, names[len(names)-1])
+	path := filepath.Join(s.dir, names[len(names)-1])
 	file, err := os.ReadFile(path)
 	if err != nil {
 		return raft.SnapshotMeta{}, nil, err
 	}
-	return parseSnapshot(path, file)
+	return decodeSnapshot(path, file)
 }
 
-func parseSnapshot(path string, file []byte) (raft.SnapshotMeta, []byte, error) {
+func decodeSnapshot(path string, file []byte) (raft.SnapshotMeta, []byte, error) {
 	var meta raft.SnapshotMeta
-	index, err := checkHeader(path, snapshotMagic, file)
+	index, err := decodeFileHeader(path, snapshotMagic, file)
 	if err != nil {
 		return meta, nil, err
 	}
 	rest := file[headerBytes:]
-	damaged := &CorruptError{path, headerBytes, "snapshot is damaged"}
-	if len(rest) < snapshotPreamble {
+	damaged := &CorruptError{path, headerBytes, "snapshot is truncated or damaged"}
+	if len(rest) < snapshotPreambleBytes {
 		return meta, nil, damaged
 	}
 	size := int64(binary.LittleEndian.Uint32(rest))
-	content := rest[snapshotPreamble:]
+	content := rest[snapshotPreambleBytes:]
 	if size > int64(len(content)) || crc32.Checksum(content, castagnoli) != binary.LittleEndian.Uint32(rest[4:]) {
 		return meta, nil, damaged
 	}
@@ -142,7 +142,7 @@
 }
 
 func decodeMeta(data []byte) (raft.SnapshotMeta, error) {
-	p := &parser{data: data}
+	p := &fieldReader{data: data}
 	m := raft.SnapshotMeta{Index: p.varint(), Term: p.varint(), Size: p.varint()}
 	members := p.bytes()
 	if p.err != nil {
@@ -153,8 +153,9 @@
 	return m, err
 }
 
-// ReadChunk returns up to limit bytes of the newest snapshot's data. It
-// reports false if the newest snapshot is another one.
+// ReadChunk returns up to limit bytes of the current snapshot's data, starting
+// at offset. It reports false if the current snapshot does not have the given
+// index, if offset is beyond its end, or if the file cannot be read.
 func (s *Store) ReadChunk(index, offset uint64, limit int) ([]byte, bool) {
 	if index != s.snapshot.Index || offset > s.snapshot.Size {
 		return nil, false
@@ -164,7 +165,7 @@
 		return nil, false
 	}
 	defer func() { _ = f.Close() }()
-	start := headerBytes + snapshotPreamble + len(encodeMeta(s.snapshot))
+	start := headerBytes + snapshotPreambleBytes + len(encodeMeta(s.snapshot))
 	buf := make([]byte, min(uint64(limit), s.snapshot.Size-offset))
 	if _, err := f.ReadAt(buf, int64(start)+int64(offset)); err != nil && err != io.EOF {
 		return nil, false
--- a/internal/adapter/disk/store.go
+++ b/internal/adapter/disk/store.go
@@ -1,4 +1,4 @@
-// Package disk keeps the control log of one voter in files: segments of
+// Package disk stores the control log of one replica in files: segments of
 // records, and snapshots of the state machine.
 package disk
 
@@ -15,99 +15,104 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-// FormatVersion is the version of segments and snapshots that Store writes.
+// FormatVersion is the format version of the segment and snapshot files.
 const FormatVersion = 1
 
 const (
-	segmentMagic    = "CUMINLOG"
-	snapshotMagic   = "CUMINSNP"
-	segmentPrefix   = "log-"
-	snapshotPrefix  = "snapshot-"
-	temporarySuffix = ".tmp"
-	lockName        = "lock"
-	// newName is a file that exists until the replica is formed.
-	newName = "new"
-	// headerBytes is magic, version, four unused bytes and a number: that of
-	// the first record of a segment, or the index of a snapshot.
+	segmentMagic   = "CUMINLOG"
+	snapshotMagic  = "CUMINSNP"
+	segmentPrefix  = "log-"
+	snapshotPrefix = "snapshot-"
+	tempSuffix     = ".tmp"
+	lockFileName   = "lock"
+	// newMarkerName is the name of an empty file that exists until the replica
+	// has finished bootstrapping.
+	newMarkerName = "new"
+	// headerBytes is the size of a file header: magic, format version, four
+	// unused bytes, and the number of the first record of a segment or the
+	// index of a snapshot.
 	headerBytes = 8 + 4 + 4 + 8
-	// defaultSegmentBytes is the size at which a segment is closed.
+	// defaultSegmentBytes is the segment size at which the next Save starts a
+	// new segment.
 	defaultSegmentBytes = 8 << 20
 )
 
-// Options of a store; the zero value is for use.
+// Options configures a Store. The zero value selects the defaults.
 type Options struct {
-	// SegmentBytes is the size at which a segment is closed.
+	// SegmentBytes is the segment size at which the next Save starts a new
+	// segment. Zero means 8 MiB.
 	SegmentBytes int64
-	// Open replaces how files are opened for writing.
+	// Open opens files for writing. Nil means os.OpenFile.
 	Open OpenFunc
 }
 
-// CorruptError reports damage that a crash cannot explain.
+// CorruptError reports damage to a file that a crash cannot have caused.
 type CorruptError struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
-// Error names the file and the offset of the damage.
+// Error implements error.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("%s: offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// ErrFailed is returned by every write after one has failed: what a failed
-// sync has left on disk is unknown until the files are read again.
-var ErrFailed = errors.New("disk: an earlier write or sync failed")
+// ErrFailed is returned by all writes after a write or sync has failed. What a
+// failed sync has left on disk is unknown until the files are read again.
+var ErrFailed = errors.New("disk: writes are disabled because an earlier write or sync failed")
 
-// segment is one log file.
+// segment describes a segment file.
 type segment struct {
 	name string
-	// first is the number of its first record.
-	first uint64
-	// last is its highest entry index.
-	last uint64
+	// firstRecord is the number of the first record.
+	firstRecord uint64
+	// lastEntry is the highest entry index, 0 if there are no entries.
+	lastEntry uint64
 }
 
-// Store is the disk of one voter. It is not safe for concurrent use.
+// Store stores the log and the snapshots of one replica. Apart from
+// WriteSnapshot, its methods are not safe for concurrent use.
 type Store struct {
-	folder   string
-	open     OpenFunc
-	limit    int64
-	lock     *os.File
-	segments []segment
-	file     File
-	size     int64
-	// number is that of the next record.
-	number   uint64
-	state    raft.HardState
-	snapshot raft.SnapshotMeta
-	buffer   []byte
-	failed   error
+	dir          string
+	open         OpenFunc
+	segmentBytes int64
+	lockFile     *os.File
+	segments     []segment
+	segmentFile  File
+	segmentSize  int64
+	// nextRecord is the number of the next record to write.
+	nextRecord uint64
+	hardState  raft.HardState
+	snapshot   raft.SnapshotMeta
+	buffer     []byte
+	writeErr   error
 }
 
-// Open reads the files in folder, creating it if needed, and returns the
-// stored state with the data of the newest snapshot.
-func Open(folder string, options Options) (*Store, raft.Stored, []byte, error) {
-	s := &Store{folder: folder, open: options.Open, limit: options.SegmentBytes, number: 1}
+// Open reads the files in dir and returns the stored state and the data of the
+// newest snapshot. It creates dir if it does not exist.
+func Open(dir string, options Options) (*Store, raft.Stored, []byte, error) {
+	s := &Store{dir: dir, open: options.Open, segmentBytes: options.SegmentBytes, nextRecord: 1}
 	if s.open == nil {
 		s.open = openFile
 	}
-	if s.limit == 0 {
-		s.limit = defaultSegmentBytes
+	if s.segmentBytes == 0 {
+		s.segmentBytes = defaultSegmentBytes
 	}
 	stored, data, err := s.load()
 	if err != nil {
 		_ = s.Close()
-		return nil, raft.Stored{}, nil, fmt.Errorf("open control log in %s: %w", folder, err)
+		return nil, raft.Stored{}, nil, fmt.Errorf("open control log in %s: %w", dir, err)
 	}
 	return s, stored, data, nil
 }
 
 func (s *Store) load() (raft.Stored, []byte, error) {
 	var stored raft.Stored
-	if err := s.prepareFolder(); err != nil {
+	if err := s.prepareDir(); err != nil {
 		return stored, nil, err
 	}
-	isNew, err := s.markNew()
+	isNew, err := s.ensureNewMarker()
 	if err != nil {
 		return stored, nil, err
 	}
@@ -120,57 +125,59 @@
 	if err != nil {
 		return stored, nil, err
 	}
-	kept, err := s.after(entries)
+	kept, err := s.entriesAfterSnapshot(entries)
 	if err != nil {
 		return stored, nil, err
 	}
-	stored = raft.Stored{HardState: s.state, Snapshot: meta, Entries: kept, New: isNew}
-	// Entries that are left out now must not return at the next start.
+	stored = raft.Stored{HardState: s.hardState, Snapshot: meta, Entries: kept, New: isNew}
+	// The discarded entries must not be loaded again at the next start.
 	reset := len(entries) > 0 && len(kept) == 0
 	return stored, data, s.startSegment(reset)
 }
 
-func (s *Store) prepareFolder() error {
-	if err := os.MkdirAll(s.folder, folderMode); err != nil {
+func (s *Store) prepareDir() error {
+	if err := os.MkdirAll(s.dir, dirMode); err != nil {
 		return err
 	}
-	if err := syncFolder(filepath.Dir(s.folder)); err != nil {
+	if err := syncDir(filepath.Dir(s.dir)); err != nil {
 		return err
 	}
-	lock, err := os.OpenFile(filepath.Join(s.folder, lockName), os.O_RDWR|os.O_CREATE, fileMode)
+	lock, err := os.OpenFile(filepath.Join(s.dir, lockFileName), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return err
 	}
-	s.lock = lock
+	s.lockFile = lock
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return fmt.Errorf("another process uses the folder: %w", err)
+		return fmt.Errorf("lock directory (another process may be using it): %w", err)
 	}
-	return s.removeTemporary()
+	return s.removeTempFiles()
 }
 
-// markNew marks an empty folder, and reports whether the folder is marked.
-func (s *Store) markNew() (bool, error) {
-	path := filepath.Join(s.folder, newName)
+// ensureNewMarker creates the marker file if there are no segments. It reports
+// whether the marker exists.
+func (s *Store) ensureNewMarker() (bool, error) {
+	path := filepath.Join(s.dir, newMarkerName)
 	if _, err := os.Stat(path); err == nil {
 		return true, nil
 	}
-	segments, err := s.list(segmentPrefix)
+	segments, err := s.listFiles(segmentPrefix)
 	if err != nil || len(segments) > 0 {
 		return false, err
 	}
-	return true, s.writeAtomic(path)
+	return true, s.writeFileAtomic(path)
 }
 
-// removeMark makes a restart start as a voter that may vote.
-func (s *Store) removeMark() error {
-	if err := os.Remove(filepath.Join(s.folder, newName)); err != nil {
+// removeNewMarker removes the marker file, so that the replica is allowed to
+// vote after a restart.
+func (s *Store) removeNewMarker() error {
+	if err := os.Remove(filepath.Join(s.dir, newMarkerName)); err != nil {
 		return err
 	}
-	return syncFolder(s.folder)
+	return syncDir(s.dir)
 }
 
-func (s *Store) removeTemporary() error {
-	names, err := filepath.Glob(filepath.Join(s.folder, "*"+temporarySuffix))
+func (s *Store) removeTempFiles() error {
+	names, err := filepath.Glob(filepath.Join(s.dir, "*"+tempSuffix))
 	if err != nil {
 		return err
 	}
@@ -182,37 +189,39 @@
 	return nil
 }
 
-// after returns the entries that follow the snapshot. A crash between the
-// rename of a received snapshot and the record that resets the log leaves
-// entries that do not lead up to it or conflict with it.
-func (s *Store) after(entries []raft.Entry) ([]raft.Entry, error) {
-	at := s.snapshot.Index
-	if len(entries) == 0 || entries[len(entries)-1].Index < at {
+// entriesAfterSnapshot returns the entries that follow the snapshot. If a crash
+// occurred after a received snapshot was renamed and before the record that
+// resets the log was written, the stored entries may end before the snapshot or
+// conflict with it. It then returns none.
+func (s *Store) entriesAfterSnapshot(entries []raft.Entry) ([]raft.Entry, error) {
+	snapshotIndex := s.snapshot.Index
+	if len(entries) == 0 || entries[len(entries)-1].Index < snapshotIndex {
 		return nil, nil
 	}
 	first := entries[0].Index
-	if first == at+1 {
+	if first == snapshotIndex+1 {
 		return entries, nil
 	}
-	if first > at+1 {
-		return nil, fmt.Errorf("entries %d to %d are missing", at+1, first-1)
+	if first > snapshotIndex+1 {
+		return nil, fmt.Errorf("log entries %d to %d are missing", snapshotIndex+1, first-1)
 	}
-	if entries[at-first].Term != s.snapshot.Term {
+	if entries[snapshotIndex-first].Term != s.snapshot.Term {
 		return nil, nil
 	}
-	return entries[at-first+1:], nil
+	return entries[snapshotIndex-first+1:], nil
 }
 
-// Save writes and syncs what r holds. After an error the store stays failed.
+// Save writes the snapshot, hard state and entries of r and syncs them. After an
+// error, all further writes fail with ErrFailed.
 func (s *Store) Save(r *raft.Ready) error {
-	if s.failed != nil {
+	if s.writeErr != nil {
 		return ErrFailed
 	}
 	if !r.MustSync() {
 		return nil
 	}
 	if err := s.save(r); err != nil {
-		s.failed = err
+		s.writeErr = err
 		return fmt.Errorf("write control log: %w", err)
 	}
 	return nil
@@ -220,68 +229,68 @@
 
 func (s *Store) save(r *raft.Ready) error {
 	if r.Snapshot != nil {
-		if err := s.receiveSnapshot(r.Snapshot); err != nil {
+		if err := s.installSnapshot(r.Snapshot); err != nil {
 			return err
 		}
 	}
 	if r.HardState != nil {
-		s.state = *r.HardState
+		s.hardState = *r.HardState
 	}
-	if s.size >= s.limit {
+	if s.segmentSize >= s.segmentBytes {
 		if err := s.startSegment(false); err != nil {
 			return err
 		}
 	}
-	if err := s.write(record{state: r.HardState, reset: r.Snapshot != nil, entries: r.Entries}); err != nil || !r.Formed {
+	if err := s.writeRecord(record{hardState: r.HardState, reset: r.Snapshot != nil, entries: r.Entries}); err != nil || !r.Formed {
 		return err
 	}
-	return s.removeMark()
+	return s.removeNewMarker()
 }
 
-func (s *Store) write(r record) error {
-	s.buffer = appendRecord(s.buffer[:0], s.number, r)
-	if _, err := s.file.Write(s.buffer); err != nil {
+func (s *Store) writeRecord(r record) error {
+	s.buffer = appendRecord(s.buffer[:0], s.nextRecord, r)
+	if _, err := s.segmentFile.Write(s.buffer); err != nil {
 		return err
 	}
-	if err := s.file.Sync(); err != nil {
+	if err := s.segmentFile.Sync(); err != nil {
 		return err
 	}
-	s.size += int64(len(s.buffer))
-	s.number++
+	s.segmentSize += int64(len(s.buffer))
+	s.nextRecord++
 	if n := len(r.entries); n > 0 {
 		current := &s.segments[len(s.segments)-1]
-		current.last = max(current.last, r.entries[n-1].Index)
+		current.lastEntry = max(current.lastEntry, r.entries[n-1].Index)
 	}
 	return nil
 }
 
-// startSegment opens a new segment that begins with the hard state, so that
-// older segments can be removed.
+// startSegment starts a new segment. Its first record holds the hard state, so
+// that older segments can be removed.
 func (s *Store) startSegment(reset bool) error {
-	if s.file != nil {
-		if err := s.file.Close(); err != nil {
+	if s.segmentFile != nil {
+		if err := s.segmentFile.Close(); err != nil {
 			return err
 		}
 	}
-	name := fmt.Sprintf("%s%016x", segmentPrefix, s.number)
-	path := filepath.Join(s.folder, name)
+	name := fmt.Sprintf("%s%016x", segmentPrefix, s.nextRecord)
+	path := filepath.Join(s.dir, name)
 	f, err := s.open(path, os.O_WRONLY|os.O_TRUNC)
 	if err != nil {
 		return err
 	}
-	s.file = f
-	if _, err := f.Write(fileHeader(segmentMagic, s.number)); err != nil {
+	s.segmentFile = f
+	if _, err := f.Write(encodeFileHeader(segmentMagic, s.nextRecord)); err != nil {
 		return err
 	}
-	s.segments = append(s.segments, segment{name: name, first: s.number})
-	s.size = headerBytes
-	if err := s.write(record{state: &s.state, reset: reset}); err != nil {
+	s.segments = append(s.segments, segment{name: name, firstRecord: s.nextRecord})
+	s.segmentSize = headerBytes
+	if err := s.writeRecord(record{hardState: &s.hardState, reset: reset}); err != nil {
 		return err
 	}
-	return syncFolder(s.folder)
+	return syncDir(s.dir)
 }
 
-func fileHeader(magic string, number uint64) []byte {
+func encodeFileHeader(magic string, number uint64) []byte {
 	h := make([]byte, headerBytes)
 	copy(h, magic)
 	binary.LittleEndian.PutUint32(h[8:], FormatVersion)
@@ -289,33 +298,34 @@
 	return h
 }
 
-// checkHeader returns the number in a file header.
-func checkHeader(path, magic string, data []byte) (uint64, error) {
+// decodeFileHeader checks the magic and the format version of a file and returns
+// the number in its header.
+func decodeFileHeader(path, magic string, data []byte) (uint64, error) {
 	if len(data) < headerBytes || string(data[:8]) != magic {
-		return 0, &CorruptError{path, 0, "file header is damaged"}
+		return 0, &CorruptError{path, 0, "file header is truncated or has the wrong magic"}
 	}
 	if v := binary.LittleEndian.Uint32(data[8:]); v != FormatVersion {
-		return 0, fmt.Errorf("%s: format version is %d, want %d", path, v, FormatVersion)
+		return 0, fmt.Errorf("%s: unsupported format version %d, want %d", path, v, FormatVersion)
 	}
 	return binary.LittleEndian.Uint64(data[16:]), nil
 }
 
-// Close releases the folder.
+// Close closes the current segment and unlocks the directory.
 func (s *Store) Close() error {
 	var err error
-	if s.file != nil {
-		err = s.file.Close()
-		s.file = nil
+	if s.segmentFile != nil {
+		err = s.segmentFile.Close()
+		s.segmentFile = nil
 	}
-	if s.lock != nil {
-		err = errors.Join(err, s.lock.Close())
-		s.lock = nil
+	if s.lockFile != nil {
+		err = errors.Join(err, s.lockFile.Close())
+		s.lockFile = nil
 	}
 	return err
 }
 
-func (s *Store) list(prefix string) ([]string, error) {
-	files, err := os.ReadDir(s.folder)
+func (s *Store) listFiles(prefix string) ([]string, error) {
+	files, err := os.ReadDir(s.dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adapter/disk/store_test.go
+++ b/internal/adapter/disk/store_test.go
@@ -13,7 +13,7 @@
 	"github.com/cuminwing/cuminwing/internal/raft"
 )
 
-var update = flag.Bool("update", false, "write the sample files again")
+var updateSamples = flag.Bool("update", false, "regenerate the sample files in testdata")
 
 func entries(term, first, last uint64) []raft.Entry {
 	var out []raft.Entry
@@ -23,9 +23,9 @@
 	return out
 }
 
-func open(t *testing.T, folder string, options Options) (*Store, raft.Stored, []byte) {
+func openStore(t *testing.T, dir string, options Options) (*Store, raft.Stored, []byte) {
 	t.Helper()
-	s, stored, data, err := Open(folder, options)
+	s, stored, data, err := Open(dir, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,131 +40,136 @@
 	}
 }
 
-// fill writes three records after the one that starts a segment.
-func fill(t *testing.T, folder string) string {
+// writeSampleLog writes three records after the first one of a segment. It
+// returns the name of the segment file.
+func writeSampleLog(t *testing.T, dir string) string {
 	t.Helper()
-	s, _, _ := open(t, folder, Options{})
+	s, _, _ := openStore(t, dir, Options{})
 	save(t, s, raft.Ready{HardState: &raft.HardState{Term: 3, Vote: "vm-1"}, Entries: entries(2, 1, 4)})
 	save(t, s, raft.Ready{Entries: entries(3, 3, 5)})
 	save(t, s, raft.Ready{Entries: entries(3, 6, 6)})
-	name := filepath.Join(folder, s.segments[0].name)
+	name := filepath.Join(dir, s.segments[0].name)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return name
 }
 
-var filled = append(entries(2, 1, 2), entries(3, 3, 6)...)
+var sampleEntries = append(entries(2, 1, 2), entries(3, 3, 6)...)
 
-// recordStarts returns the offset of each record and the end of the file.
+// recordStarts returns the offset of each record, followed by the offset at
+// which the records end.
 func recordStarts(data []byte) []int {
 	var starts []int
-	for at := headerBytes; at < len(data); {
-		starts = append(starts, at)
-		body, _, ok := readRecord(data[at:])
+	for offset := headerBytes; offset < len(data); {
+		starts = append(starts, offset)
+		body, _, ok := readRecord(data[offset:])
 		if !ok {
 			return starts
 		}
-		at += recordHeaderBytes + len(body)
+		offset += recordHeaderBytes + len(body)
 	}
 	return append(starts, len(data))
 }
 
-// Guards against a start that refuses a torn tail, accepts damage in the
-// middle, or does not name the place of the damage.
-func TestDamage(t *testing.T) {
+// Guards against a start that rejects a record torn by a crash at the end of the
+// segment, accepts damage in the middle of the segment, or does not report the
+// file and offset of the damage.
+func TestDamagedSegment(t *testing.T) {
 	last := 3
 	tests := []struct {
 		name string
-		// damage changes the file, given the starts of its records.
-		damage func(data []byte, at []int) []byte
-		// kept is how many entries remain, -1 if the file is refused.
+		// damage modifies the content of the file. starts has the offsets of
+		// its records.
+		damage func(data []byte, starts []int) []byte
+		// kept is the number of remaining entries, -1 if the file must be
+		// rejected.
 		kept int
-		// record is the one that the refusal names.
+		// record is the record whose offset the error must report.
 		record int
 	}{
-		{"whole", func(d []byte, _ []int) []byte { return d }, 6, 0},
-		{"last record cut in the header", func(d []byte, at []int) []byte { return d[:at[last]+7] }, 5, 0},
-		{"last record cut in the body", func(d []byte, at []int) []byte { return d[:len(d)-1] }, 5, 0},
-		{"last record half written", func(d []byte, at []int) []byte { clear(d[at[last]+24:]); return d }, 5, 0},
+		{"undamaged", func(d []byte, _ []int) []byte { return d }, 6, 0},
+		{"last record cut in the header", func(d []byte, starts []int) []byte { return d[:starts[last]+7] }, 5, 0},
+		{"last record cut in the body", func(d []byte, starts []int) []byte { return d[:len(d)-1] }, 5, 0},
+		{"last record half written", func(d []byte, starts []int) []byte { clear(d[starts[last]+24:]); return d }, 5, 0},
 		{"zeros after the end", func(d []byte, _ []int) []byte { return append(d, make([]byte, 600)...) }, 6, 0},
-		{"bit flip in a body", func(d []byte, at []int) []byte { d[at[2]+recordHeaderBytes+3] ^= 1; return d }, -1, 2},
-		{"bit flip in a length", func(d []byte, at []int) []byte { d[at[2]+1] ^= 0x40; return d }, -1, 2},
-		{"zeros over a record", func(d []byte, at []int) []byte { clear(d[at[1]:at[2]]); return d }, -1, 1},
-		{"record left out", func(d []byte, at []int) []byte { return append(d[:at[1]], d[at[2]:]...) }, -1, 1},
+		{"bit flip in a body", func(d []byte, starts []int) []byte { d[starts[2]+recordHeaderBytes+3] ^= 1; return d }, -1, 2},
+		{"bit flip in a length", func(d []byte, starts []int) []byte { d[starts[2]+1] ^= 0x40; return d }, -1, 2},
+		{"record overwritten with zeros", func(d []byte, starts []int) []byte { clear(d[starts[1]:starts[2]]); return d }, -1, 1},
+		{"record missing", func(d []byte, starts []int) []byte { return append(d[:starts[1]], d[starts[2]:]...) }, -1, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			folder := t.TempDir()
-			name := fill(t, folder)
+			dir := t.TempDir()
+			name := writeSampleLog(t, dir)
 			data, err := os.ReadFile(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			at := recordStarts(data)
-			if err := os.WriteFile(name, tt.damage(data, at), fileMode); err != nil {
+			starts := recordStarts(data)
+			if err := os.WriteFile(name, tt.damage(data, starts), fileMode); err != nil {
 				t.Fatal(err)
 			}
 			for range 2 {
-				s, stored, _, err := Open(folder, Options{})
+				s, stored, _, err := Open(dir, Options{})
 				if tt.kept < 0 {
 					var corrupt *CorruptError
-					if !errors.As(err, &corrupt) || corrupt.File != name || corrupt.Offset != int64(at[tt.record]) {
-						t.Fatalf("got %v, want a refusal of %s at offset %d", err, name, at[tt.record])
+					if !errors.As(err, &corrupt) || corrupt.File != name || corrupt.Offset != int64(starts[tt.record]) {
+						t.Fatalf("got error %v, want a CorruptError for %s at offset %d", err, name, starts[tt.record])
 					}
 					return
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !reflect.DeepEqual(stored.Entries, filled[:tt.kept]) {
-					t.Fatalf("got entries %v", stored.Entries)
+				if !reflect.DeepEqual(stored.Entries, sampleEntries[:tt.kept]) {
+					t.Fatalf("loaded the wrong entries: %v", stored.Entries)
 				}
-				// The second start reads the cut file and the segment after it.
+				// The second start reads the truncated file and the segment after it.
 				_ = s.Close()
 			}
 		})
 	}
 }
 
-// Guards against the acceptance of damage in a segment that is not the last,
-// and of a missing segment.
+// Guards against a start that accepts a damaged segment other than the last one,
+// or a missing segment.
 func TestDamagedOldSegment(t *testing.T) {
 	for _, remove := range []bool{false, true} {
-		folder := t.TempDir()
-		s, _, _ := open(t, folder, Options{SegmentBytes: 1})
+		dir := t.TempDir()
+		s, _, _ := openStore(t, dir, Options{SegmentBytes: 1})
 		for i := uint64(1); i <= 4; i++ {
 			save(t, s, raft.Ready{Entries: entries(1, i, i)})
 		}
-		name := filepath.Join(folder, s.segments[2].name)
+		name := filepath.Join(dir, s.segments[2].name)
 		_ = s.Close()
 		if remove {
 			_ = os.Remove(name)
 		} else {
 			_ = os.Truncate(name, headerBytes+recordHeaderBytes+2)
 		}
-		_, _, _, err := Open(folder, Options{})
+		_, _, _, err := Open(dir, Options{})
 		var corrupt *CorruptError
 		if !errors.As(err, &corrupt) {
-			t.Fatalf("removed %v: got %v, want a refusal", remove, err)
+			t.Fatalf("segment removed: %v: got error %v, want a CorruptError", remove, err)
 		}
 	}
 }
 
-// faulty fails the write or sync with the given number.
-type faulty struct {
+// faultyFile is a File that fails according to a faultPlan.
+type faultyFile struct {
 	File
-	plan *plan
+	plan *faultPlan
 }
 
-type plan struct {
+type faultPlan struct {
 	writes, syncs       int
 	failWrite, failSync int
 	partial             bool
 	err                 error
 }
 
-func (f faulty) Write(p []byte) (int, error) {
+func (f faultyFile) Write(p []byte) (int, error) {
 	f.plan.writes++
 	if f.plan.writes == f.plan.failWrite {
 		n := 0
@@ -176,7 +181,7 @@
 	return f.File.Write(p)
 }
 
-func (f faulty) Sync() error {
+func (f faultyFile) Sync() error {
 	f.plan.syncs++
 	if f.plan.syncs == f.plan.failSync {
 		return f.plan.err
@@ -184,30 +189,30 @@
 	return f.File.Sync()
 }
 
-// Guards against a store that goes on after a failed write or sync, or that
-// cannot be opened again after a restart.
+// Guards against a store that accepts writes after a failed write or sync, or
+// that cannot be opened after a restart.
 func TestWriteFaults(t *testing.T) {
 	tests := []struct {
 		name string
-		plan plan
-		// atLeast is how many entries a restart must find.
+		plan faultPlan
+		// atLeast is the minimum number of entries after a restart.
 		atLeast int
 	}{
-		{"sync fails", plan{failSync: 4, err: syscall.EIO}, 1},
-		{"disk full", plan{failWrite: 4, err: syscall.ENOSPC}, 1},
-		{"disk full within a record", plan{failWrite: 4, partial: true, err: syscall.ENOSPC}, 1},
+		{"sync fails", faultPlan{failSync: 4, err: syscall.EIO}, 1},
+		{"disk full", faultPlan{failWrite: 4, err: syscall.ENOSPC}, 1},
+		{"disk full within a record", faultPlan{failWrite: 4, partial: true, err: syscall.ENOSPC}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			folder := t.TempDir()
-			s, _, _ := open(t, folder, Options{Open: func(name string, flag int) (File, error) {
+			dir := t.TempDir()
+			s, _, _ := openStore(t, dir, Options{Open: func(name string, flag int) (File, error) {
 				f, err := openFile(name, flag)
-				return faulty{f, &tt.plan}, err
+				return faultyFile{f, &tt.plan}, err
 			}})
 			save(t, s, raft.Ready{Entries: entries(1, 1, 1)})
 			err := s.Save(&raft.Ready{Entries: entries(1, 2, 2)})
 			if !errors.Is(err, tt.plan.err) {
-				t.Fatalf("got %v, want %v", err, tt.plan.err)
+				t.Fatalf("save with an injected fault returned %v, want %v", err, tt.plan.err)
 			}
 			if err := s.Save(&raft.Ready{Entries: entries(1, 2, 2)}); !errors.Is(err, ErrFailed) {
 				t.Fatalf("the next save returned %v, want ErrFailed", err)
@@ -216,9 +221,9 @@
 				t.Fatalf("the next snapshot returned %v, want ErrFailed", err)
 			}
 			_ = s.Close()
-			_, stored, _ := open(t, folder, Options{})
+			_, stored, _ := openStore(t, dir, Options{})
 			if len(stored.Entries) < tt.atLeast {
-				t.Fatalf("%d entries after the restart, want at least %d", len(stored.Entries), tt.atLeast)
+				t.Fatalf("loaded %d entries after the restart, want at least %d", len(stored.Entries), tt.atLeast)
 			}
 		})
 	}
@@ -233,14 +238,15 @@
 	}
 }
 
-// Guards against entries that are lost or brought back by a snapshot, its own
-// or received, also when a crash comes right after the rename.
+// Guards against a snapshot that loses entries or restores removed ones. It
+// covers snapshots taken locally and received from the leader, and a crash right
+// after the rename of the snapshot file.
 func TestSnapshots(t *testing.T) {
 	tests := []struct {
 		name     string
 		snapshot raft.Snapshot
-		// received tells that the snapshot came from the leader; crash leaves
-		// the file as only trace of it.
+		// received is true if the snapshot came from the leader. crash is true
+		// if only the snapshot file was written before a crash.
 		received, crash bool
 		next            []raft.Entry
 		want            []raft.Entry
@@ -253,9 +259,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			folder := t.TempDir()
-			fill(t, folder)
-			s, _, _ := open(t, folder, Options{})
+			dir := t.TempDir()
+			writeSampleLog(t, dir)
+			s, _, _ := openStore(t, dir, Options{})
 			switch {
 			case tt.received && !tt.crash:
 				save(t, s, raft.Ready{Snapshot: &tt.snapshot})
@@ -266,17 +272,17 @@
 			}
 			if tt.crash {
 				_ = s.Close()
-				s, _, _ = open(t, folder, Options{})
+				s, _, _ = openStore(t, dir, Options{})
 			}
 			save(t, s, raft.Ready{Entries: tt.next})
 			checkChunks(t, s, tt.snapshot)
 			_ = s.Close()
-			_, stored, data := open(t, folder, Options{})
+			_, stored, data := openStore(t, dir, Options{})
 			if !reflect.DeepEqual(stored.Entries, tt.want) || !reflect.DeepEqual(stored.Snapshot, tt.snapshot.SnapshotMeta) {
-				t.Fatalf("got %+v, want entries %v", stored, tt.want)
+				t.Fatalf("loaded %+v, want entries %v", stored, tt.want)
 			}
 			if string(data) != string(tt.snapshot.Data) {
-				t.Fatalf("got snapshot data %q", data)
+				t.Fatalf("loaded the wrong snapshot data: %q", data)
 			}
 		})
 	}
@@ -288,22 +294,22 @@
 	for uint64(len(got)) < snapshot.Size {
 		chunk, ok := s.ReadChunk(snapshot.Index, uint64(len(got)), 7)
 		if !ok || len(chunk) == 0 {
-			t.Fatalf("no chunk at %d", len(got))
+			t.Fatalf("no snapshot chunk at offset %d", len(got))
 		}
 		got = append(got, chunk...)
 	}
 	if string(got) != string(snapshot.Data) {
-		t.Fatalf("chunks give %q", got)
+		t.Fatalf("chunks add up to the wrong snapshot data: %q", got)
 	}
 }
 
-// Guards against a damaged snapshot that is taken for a state, and against
-// two processes on one folder.
-func TestRefusals(t *testing.T) {
-	folder := t.TempDir()
-	s, _, _ := open(t, folder, Options{})
-	if _, _, _, err := Open(folder, Options{}); err == nil {
-		t.Fatal("a second process opened the folder")
+// Guards against a start from a damaged snapshot, and against two processes that
+// use the same directory.
+func TestOpenRejectsDamagedSnapshotAndSecondProcess(t *testing.T) {
+	dir := t.TempDir()
+	s, _, _ := openStore(t, dir, Options{})
+	if _, _, _, err := Open(dir, Options{}); err == nil {
+		t.Fatal("a directory that is already open was opened a second time")
 	}
 	if err := s.SaveSnapshot(snapshotAt(1, 1)); err != nil {
 		t.Fatal(err)
@@ -313,42 +319,42 @@
 	data, _ := os.ReadFile(name)
 	data[len(data)-1] ^= 1
 	_ = os.WriteFile(name, data, fileMode)
-	if _, _, _, err := Open(folder, Options{}); err == nil || !strings.Contains(err.Error(), name) {
-		t.Fatalf("got %v, want a refusal of %s", err, name)
+	if _, _, _, err := Open(dir, Options{}); err == nil || !strings.Contains(err.Error(), name) {
+		t.Fatalf("got error %v, want one that names the damaged snapshot %s", err, name)
 	}
 }
 
 // Guards against a change that makes files of format version 1 unreadable.
 func TestFormatVersion1(t *testing.T) {
 	sample := filepath.Join("testdata", "version-1")
-	if *update {
-		writeSample(t, sample)
+	if *updateSamples {
+		writeSampleFiles(t, sample)
 	}
-	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(sample)); err != nil {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(sample)); err != nil {
 		t.Fatal(err)
 	}
-	_, stored, data := open(t, folder, Options{})
+	_, stored, data := openStore(t, dir, Options{})
 	want := raft.Stored{
 		HardState: raft.HardState{Term: 3, Vote: "vm-1"},
 		Snapshot:  snapshotAt(2, 2).SnapshotMeta,
 		Entries:   entries(3, 3, 6),
 	}
 	if !reflect.DeepEqual(stored, want) || string(data) != "state of the machine" {
-		t.Fatalf("got %+v and %q", stored, data)
+		t.Fatalf("loaded the wrong state: %+v, snapshot data %q", stored, data)
 	}
 }
 
-func writeSample(t *testing.T, folder string) {
+func writeSampleFiles(t *testing.T, dir string) {
 	t.Helper()
-	if err := os.RemoveAll(folder); err != nil {
+	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	fill(t, folder)
-	s, _, _ := open(t, folder, Options{})
+	writeSampleLog(t, dir)
+	s, _, _ := openStore(t, dir, Options{})
 	if err := s.SaveSnapshot(snapshotAt(2, 2)); err != nil {
 		t.Fatal(err)
 	}
 	_ = s.Close()
-	_ = os.Remove(filepath.Join(folder, lockName))
+	_ = os.Remove(filepath.Join(dir, lockFileName))
 }
