--- a/internal/adapter/gossip/codec.go
+++ b/internal/adapter/gossip/codec.go
@@ -1,4 +1,4 @@
-// Package gossip carries membership messages over UDP.
+// Package gossip sends and receives membership messages over UDP.
 package gossip
 
 import (
@@ -18,18 +18,18 @@
 // formatVersion is the first byte of each packet.
 const formatVersion = 1
 
-const prefixBytes = 1 + sha256.Size
+const headerBytes = 1 + sha256.Size
 
-// Errors of Decode.
+// ErrUnsupportedFormat and ErrAuthentication are returned by Decode.
 var (
-	ErrFormat        = errors.New("gossip: packet has another format version")
-	ErrUnauthentic   = errors.New("gossip: packet does not carry the shared secret's authentication code")
-	errPacketTooLong = errors.New("gossip: packet exceeds the size limit")
+	ErrUnsupportedFormat = errors.New("gossip: packet is too short or has an unsupported format version")
+	ErrAuthentication    = errors.New("gossip: packet authentication failed: message modified or sent with another shared secret")
+	errPacketTooLong     = errors.New("gossip: encoded message exceeds the maximum packet size")
 )
 
-// Encode builds the packet of a message.
+// Encode encodes a message and authenticates it with secret.
 func Encode(secret []byte, m *membership.Message) ([]byte, error) {
-	buf := make([]byte, prefixBytes, membership.MaxPacketBytes)
+	buf := make([]byte, headerBytes, membership.MaxPacketBytes)
 	buf[0] = formatVersion
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, toProto(m))
 	if err != nil {
@@ -38,29 +38,30 @@
 	if len(buf) > membership.MaxPacketBytes {
 		return nil, errPacketTooLong
 	}
-	copy(buf[1:], authenticate(secret, buf))
+	copy(buf[1:], packetMAC(secret, buf))
 	return buf, nil
 }
 
-// Decode checks a packet and returns its message.
+// Decode verifies the format version and authentication code of a packet and
+// returns its message.
 func Decode(secret, packet []byte) (membership.Message, error) {
-	if len(packet) < prefixBytes || packet[0] != formatVersion {
-		return membership.Message{}, ErrFormat
+	if len(packet) < headerBytes || packet[0] != formatVersion {
+		return membership.Message{}, ErrUnsupportedFormat
 	}
-	if !hmac.Equal(packet[1:prefixBytes], authenticate(secret, packet)) {
-		return membership.Message{}, ErrUnauthentic
+	if !hmac.Equal(packet[1:headerBytes], packetMAC(secret, packet)) {
+		return membership.Message{}, ErrAuthentication
 	}
 	var m gossipv1.Message
-	if err := proto.Unmarshal(packet[prefixBytes:], &m); err != nil {
+	if err := proto.Unmarshal(packet[headerBytes:], &m); err != nil {
 		return membership.Message{}, fmt.Errorf("decode gossip message: %w", err)
 	}
 	return fromProto(&m), nil
 }
 
-func authenticate(secret, packet []byte) []byte {
+func packetMAC(secret, packet []byte) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write(packet[:1])
-	mac.Write(packet[prefixBytes:])
+	mac.Write(packet[headerBytes:])
 	return mac.Sum(nil)
 }
 
--- a/internal/adapter/gossip/conn.go
+++ b/internal/adapter/gossip/conn.go
@@ -14,15 +14,15 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Counters of packets over all VMs in the process.
+// Packet counters, summed over all VMs in the process.
 var (
 	packetsSent    = expvar.NewInt("gossip_packets_sent")
 	bytesSent      = expvar.NewInt("gossip_bytes_sent")
-	packetsDropped = expvar.NewInt("gossip_packets_refused")
+	packetsRefused = expvar.NewInt("gossip_packets_refused")
 	sendErrors     = expvar.NewInt("gossip_send_errors")
 )
 
-// Conn runs the membership core of one VM on a UDP socket.
+// Conn connects the membership core of one VM to a UDP socket.
 type Conn struct {
 	socket net.PacketConn
 	secret []byte
@@ -32,27 +32,27 @@
 	core *membership.Core
 }
 
-// New returns a Conn that works once Run is called.
+// New returns a Conn. It does not send or receive packets until Run is called.
 func New(socket net.PacketConn, secret []byte, core *membership.Core, clock func() time.Time) *Conn {
 	return &Conn{socket: socket, secret: secret, core: core, clock: clock}
 }
 
-// Run receives packets and advances the core until ctx ends. It closes the
+// Run receives packets and ticks the core until ctx is done. It then closes the
 // socket.
 func (c *Conn) Run(ctx context.Context) {
-	var wait sync.WaitGroup
-	wait.Go(c.receive)
+	var wg sync.WaitGroup
+	wg.Go(c.receive)
 	ticker := time.NewTicker(membership.TickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-			c.do(func(core *membership.Core, now time.Time) []membership.Packet { return core.Tick(now) })
+			c.runStep(func(core *membership.Core, now time.Time) []membership.Packet { return core.Tick(now) })
 		}
 	}
 	_ = c.socket.Close()
-	wait.Wait()
+	wg.Wait()
 }
 
 // Members returns the live members.
@@ -62,24 +62,26 @@
 	return c.core.Members(c.clock())
 }
 
-// UpdateSelf takes over a changed payload of this VM.
+// UpdateSelf sets the configuration revision and key digest that this VM
+// gossips about itself.
 func (c *Conn) UpdateSelf(revision, keyDigest uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.core.UpdateSelf(c.clock(), revision, keyDigest)
 }
 
-// Announce spreads a heartbeat that came from the target itself.
+// Announce gossips a heartbeat that this VM received directly from a target.
+// Change is the result of merging it into the registry.
 func (c *Conn) Announce(a target.Announcement, change target.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.core.Announce(a, change, c.clock())
 }
 
-// Leave tells the other VMs that this one leaves. Run must go on for a moment
-// to repeat it.
+// Leave notifies other VMs that this VM is leaving. Run must keep running for a
+// short time after it, because the notification is repeated on later ticks.
 func (c *Conn) Leave() {
-	c.do(func(core *membership.Core, now time.Time) []membership.Packet { return core.Leave(now) })
+	c.runStep(func(core *membership.Core, now time.Time) []membership.Packet { return core.Leave(now) })
 }
 
 func (c *Conn) receive() {
@@ -90,22 +92,22 @@
 			return
 		}
 		if err != nil {
-			// An ICMP error of an earlier send may be reported here.
+			// The error may be an ICMP error caused by an earlier send.
 			continue
 		}
 		m, err := Decode(c.secret, buf[:n])
 		if err != nil {
-			packetsDropped.Add(1)
+			packetsRefused.Add(1)
 			continue
 		}
-		c.do(func(core *membership.Core, now time.Time) []membership.Packet {
+		c.runStep(func(core *membership.Core, now time.Time) []membership.Packet {
 			return core.Receive(now, from.String(), m)
 		})
 	}
 }
 
-// do runs one step of the core and sends what it returns.
-func (c *Conn) do(step func(*membership.Core, time.Time) []membership.Packet) {
+// runStep runs one step of the core and sends the packets that it returns.
+func (c *Conn) runStep(step func(*membership.Core, time.Time) []membership.Packet) {
 	c.mu.Lock()
 	packets := step(c.core, c.clock())
 	c.mu.Unlock()
--- a/internal/adapter/gossip/convert.go
+++ b/internal/adapter/gossip/convert.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Bits of Announcement.flags.
+// Bits of the field flags in gossipv1.Announcement.
 const (
 	flagFencing = 1 << iota
 	flagResume
@@ -98,7 +98,7 @@
 		Role:        t.Role,
 		BatchSlots:  int64(t.BatchSlots),
 		CacheBlocks: int64(t.CacheBlocks),
-		Flags:       flags(&t.Announcement),
+		Flags:       encodeFlags(&t.Announcement),
 		Load:        loadToProto(t.Load),
 		AgeMs:       toMS(t.Age),
 	}
@@ -132,7 +132,7 @@
 	return membership.TargetUpdate{Announcement: a, Age: fromMS(p.AgeMs)}
 }
 
-func flags(a *target.Announcement) uint32 {
+func encodeFlags(a *target.Announcement) uint32 {
 	var f uint32
 	set := func(on bool, bit uint32) {
 		if on {
