--- a/internal/adapter/logsink/sink.go
+++ b/internal/adapter/logsink/sink.go
@@ -1,6 +1,6 @@
-// Package logsink writes log lines without ever blocking the code that logs:
-// lines go through a bounded ring to one writer, and lines that do not fit are
-// counted and reported.
+// Package logsink writes log lines without blocking the code that logs. Lines
+// pass through a bounded queue to a single writer goroutine. Lines that do not
+// fit into the queue are dropped, and their number is logged.
 package logsink
 
 import (
@@ -17,55 +17,59 @@
 )
 
 const (
-	// capacity is the number of lines that may wait for the writer.
-	capacity = 2048
-	// maxBatch bounds the bytes of one write.
-	maxBatch = 32 << 10
-	// gather is how long the writer lets lines collect, so that it wakes up
-	// and writes a few times a second only.
-	gather = 100 * time.Millisecond
-	// flushTimeout bounds the last write at the end of the process.
+	// queueCapacity is the maximum number of lines that wait for the writer.
+	queueCapacity = 2048
+	// maxBatchBytes is the size at which the writer stops adding lines to a
+	// write.
+	maxBatchBytes = 32 << 10
+	// batchDelay is how long the writer waits for more lines before a write,
+	// which limits it to a few wake-ups and writes per second.
+	batchDelay = 100 * time.Millisecond
+	// flushTimeout is how long Close waits for the queued lines to be written
+	// when the process exits.
 	flushTimeout = 300 * time.Millisecond
-	// sampleFirst and sampleThen bound the equal messages of a second: the
-	// first ones are written, and then every so many.
-	sampleFirst = 200
-	sampleThen  = 50
+	// sampleFirst and sampleThereafter limit repeated messages: of the lines
+	// with the same level and message in one second, the first sampleFirst are
+	// logged, and then every sampleThereafter-th.
+	sampleFirst      = 200
+	sampleThereafter = 50
 )
 
-// Sink is the writer's side of a logger.
+// Sink queues the lines of a logger and writes them.
 type Sink struct {
 	lines *ring.Ring[[]byte]
 	out   io.Writer
 	done  chan struct{}
-	// sampled counts lines that were left out because many had the message.
-	sampled atomic.Uint64
+	// sampledOut counts the lines dropped by sampling.
+	sampledOut atomic.Uint64
 }
 
-// New returns a logger that writes JSON lines to out, and its sink.
+// New returns a logger that writes JSON lines to out, and the logger's sink.
 func New(out io.Writer) (*zap.Logger, *Sink) {
-	s := &Sink{lines: ring.New[[]byte](capacity), out: out, done: make(chan struct{})}
+	s := &Sink{lines: ring.New[[]byte](queueCapacity), out: out, done: make(chan struct{})}
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoding.EncodeDuration = zapcore.MillisDurationEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.AddSync(s), zap.InfoLevel)
 	go s.run()
-	sampler := zapcore.NewSamplerWithOptions(core, time.Second, sampleFirst, sampleThen, zapcore.SamplerHook(s.count))
+	sampler := zapcore.NewSamplerWithOptions(core, time.Second, sampleFirst, sampleThereafter, zapcore.SamplerHook(s.countSampledOut))
 	return zap.New(sampler), s
 }
 
-func (s *Sink) count(_ zapcore.Entry, decision zapcore.SamplingDecision) {
+func (s *Sink) countSampledOut(_ zapcore.Entry, decision zapcore.SamplingDecision) {
 	if decision&zapcore.LogDropped > 0 {
-		s.sampled.Add(1)
+		s.sampledOut.Add(1)
 	}
 }
 
-// Write implements io.Writer. It never blocks.
+// Write implements io.Writer. It does not block on the underlying writer.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.lines.Push(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// Close writes what waits and ends the writer.
+// Close stops accepting lines and waits up to flushTimeout until the queued ones
+// are written.
 func (s *Sink) Close() {
 	s.lines.Close()
 	select {
@@ -82,22 +86,22 @@
 		if !ok {
 			return
 		}
-		if s.lines.Len() < capacity/2 {
-			time.Sleep(gather)
+		if s.lines.Len() < queueCapacity/2 {
+			time.Sleep(batchDelay)
 		}
-		batch := s.collect(line)
-		if dropped := s.lines.Dropped() + s.sampled.Load(); dropped > reported {
+		batch := s.collectBatch(line)
+		if dropped := s.lines.Dropped() + s.sampledOut.Load(); dropped > reported {
 			batch = fmt.Appendf(batch, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", dropped-reported)
 			reported = dropped
 		}
-		// There is nowhere to report a failure to write a log line.
+		// The error is ignored because there is nowhere to report it.
 		_, _ = s.out.Write(batch)
 	}
 }
 
-func (s *Sink) collect(line []byte) []byte {
+func (s *Sink) collectBatch(line []byte) []byte {
 	batch := append([]byte(nil), line...)
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchBytes {
 		next, ok := s.lines.TryPop()
 		if !ok {
 			break
--- a/internal/adapter/logsink/sink_test.go
+++ b/internal/adapter/logsink/sink_test.go
@@ -10,22 +10,23 @@
 	"go.uber.org/zap"
 )
 
-// stalled is a reader of standard output that has stopped reading.
-type stalled struct{ release chan struct{} }
+// stalledWriter blocks writes until release is closed, like a pipe whose reader
+// has stopped reading.
+type stalledWriter struct{ release chan struct{} }
 
-func (s stalled) Write(b []byte) (int, error) {
+func (s stalledWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
-// Guards against requests that wait for whoever reads the log lines.
+// Guards against a stalled reader of the log output that blocks requests.
 func TestStalledReaderDoesNotBlockTheLogger(t *testing.T) {
-	out := stalled{make(chan struct{})}
+	out := stalledWriter{make(chan struct{})}
 	logger, sink := New(out)
 	defer close(out.release)
 	done := make(chan struct{})
 	go func() {
-		for i := range 5 * capacity {
+		for i := range 5 * queueCapacity {
 			logger.Info("line", zap.Int("i", i))
 			logger.Warn(strings.Repeat("w", i%50), zap.Int("i", i))
 		}
@@ -34,37 +35,37 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the logger waits for its reader")
+		t.Fatal("the logger blocks on a stalled reader")
 	}
-	if sink.lines.Len() > capacity {
-		t.Errorf("%d lines wait, the bound is %d", sink.lines.Len(), capacity)
+	if sink.lines.Len() > queueCapacity {
+		t.Errorf("%d lines are queued, want at most %d", sink.lines.Len(), queueCapacity)
 	}
 }
 
-type buffer struct {
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(data []byte) (int, error) {
+func (b *lockedBuffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(data)
 }
 
-func (b *buffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
-// Guards against lines that are lost at the end of a process, and against
-// dropped lines that nobody hears of.
+// Guards against lines that are lost when the process exits, and against
+// dropped lines that are not reported.
 func TestLinesAreWrittenAndDroppedOnesAreReported(t *testing.T) {
-	var out buffer
+	var out lockedBuffer
 	logger, sink := New(&out)
 	logger.Info("first", zap.String("id", "r1"))
-	for range 2 * capacity {
+	for range 2 * queueCapacity {
 		if _, err := sink.Write([]byte("filler\n")); err != nil {
 			t.Fatal(err)
 		}
@@ -72,24 +73,24 @@
 	sink.Close()
 	text := out.String()
 	if !strings.Contains(text, `"id":"r1"`) {
-		t.Error("the first line is missing")
+		t.Error("the first line was not written")
 	}
 	if !strings.Contains(text, "log lines dropped") {
-		t.Error("dropped lines are not reported")
+		t.Error("lines dropped by the full queue are not reported")
 	}
 }
 
-// Guards against lines that are left out by sampling without a word.
+// Guards against lines that are dropped by sampling and not reported.
 func TestSampledLinesAreReported(t *testing.T) {
-	var out buffer
+	var out lockedBuffer
 	logger, sink := New(&out)
 	for range 3 * sampleFirst {
 		logger.Info("same")
 	}
-	time.Sleep(3 * gather)
+	time.Sleep(3 * batchDelay)
 	logger.Info("other")
 	sink.Close()
 	if text := out.String(); !strings.Contains(text, "log lines dropped") {
-		t.Error("lines that were left out are not reported")
+		t.Error("lines dropped by sampling are not reported")
 	}
 }
