--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics publishes counters through expvar. Each VM of the process
-// has a map of its own under the name "cuminwing", so that several VMs in one
-// process do not mix.
+// Package metrics publishes counters through expvar. Each VM has its own map in
+// the variable "cuminwing", so that the counters of several VMs in one process
+// stay separate.
 package metrics
 
 import (
@@ -12,40 +12,40 @@
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
-// maxLabels bounds how many routes and refusal codes get a counter of their
-// own; the rest is counted under otherLabel.
+// maxLabelledNames limits the number of counters with a route or refusal code in
+// their name. Further routes and refusal codes are counted under otherLabel.
 const (
-	maxLabels  = 256
-	otherLabel = "(other)"
+	maxLabelledNames = 256
+	otherLabel       = "(other)"
 )
 
 var (
-	publish sync.Once
-	vms     *expvar.Map
+	publishOnce sync.Once
+	vms         *expvar.Map
 )
 
-// Set holds the counters of one VM.
+// Set holds the metrics of one VM.
 type Set struct {
-	counters *expvar.Map
-	mu       sync.Mutex
-	labels   map[string]struct{}
+	counters      *expvar.Map
+	mu            sync.Mutex
+	labelledNames map[string]struct{}
 }
 
-// New returns the counters of a VM.
+// New returns a Set and publishes it under the name of the VM.
 func New(vm string) *Set {
-	publish.Do(func() { vms = expvar.NewMap("cuminwing") })
-	s := &Set{counters: new(expvar.Map).Init(), labels: make(map[string]struct{})}
+	publishOnce.Do(func() { vms = expvar.NewMap("cuminwing") })
+	s := &Set{counters: new(expvar.Map).Init(), labelledNames: make(map[string]struct{})}
 	vms.Set(vm, s.counters)
 	return s
 }
 
-// Handler serves all counters of the process as JSON.
+// Handler serves all expvar variables of the process as JSON.
 func Handler() http.Handler { return expvar.Handler() }
 
-// Add increases a counter.
+// Add adds delta to a counter.
 func (s *Set) Add(name string, delta int64) { s.counters.Add(name, delta) }
 
-// Value returns a counter.
+// Value returns the value of a counter, or 0 if there is none with that name.
 func (s *Set) Value(name string) int64 {
 	if v, ok := s.counters.Get(name).(*expvar.Int); ok {
 		return v.Value()
@@ -53,15 +53,15 @@
 	return 0
 }
 
-// Gauge publishes a value that is computed when it is read.
+// Gauge publishes a value that is computed on each read.
 func (s *Set) Gauge(name string, value func() any) { s.counters.Set(name, expvar.Func(value)) }
 
-// Observe counts one request.
+// Observe adds a finished request to the counters.
 func (s *Set) Observe(sample serving.Sample) {
 	s.Add("requests", 1)
-	s.Add(s.label("requests_route_", sample.Route), 1)
+	s.Add(s.labelledName("requests_route_", sample.Route), 1)
 	if sample.Refusal != "" {
-		s.Add(s.label("refusals_", sample.Refusal), 1)
+		s.Add(s.labelledName("refusals_", sample.Refusal), 1)
 	}
 	if sample.Complete {
 		s.Add("complete_answers", 1)
@@ -73,16 +73,16 @@
 	s.Add("cached_tokens", int64(sample.CachedTokens))
 	s.Add("wasted_tokens", int64(sample.WastedTokens))
 	if sample.FirstToken > 0 {
-		s.Add("first_token_seconds_le_"+bound(sample.FirstToken.Seconds()), 1)
+		s.Add("first_token_seconds_le_"+firstTokenBucket(sample.FirstToken.Seconds()), 1)
 	}
 }
 
-// bounds are the classes of the first-token counter in seconds. One of them is
-// the objective of 0.84 s.
-var bounds = []float64{0.05, 0.1, 0.25, 0.5, 0.84, 2, 5}
+// firstTokenBuckets are the upper bounds of the first-token histogram buckets,
+// in seconds. 0.84 s is the latency objective.
+var firstTokenBuckets = []float64{0.05, 0.1, 0.25, 0.5, 0.84, 2, 5}
 
-func bound(seconds float64) string {
-	for _, b := range bounds {
+func firstTokenBucket(seconds float64) string {
+	for _, b := range firstTokenBuckets {
 		if seconds <= b {
 			return strconv.FormatFloat(b, 'g', -1, 64)
 		}
@@ -90,16 +90,16 @@
 	return "inf"
 }
 
-func (s *Set) label(prefix, value string) string {
+func (s *Set) labelledName(prefix, value string) string {
 	name := prefix + value
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.labels[name]; known {
+	if _, known := s.labelledNames[name]; known {
 		return name
 	}
-	if len(s.labels) >= maxLabels {
+	if len(s.labelledNames) >= maxLabelledNames {
 		return prefix + otherLabel
 	}
-	s.labels[name] = struct{}{}
+	s.labelledNames[name] = struct{}{}
 	return name
 }
