--- a/internal/adapter/peertls/authority.go
+++ b/internal/adapter/peertls/authority.go
@@ -13,15 +13,18 @@
 	"time"
 )
 
+// serialBits is the maximum length of the random certificate serial numbers.
 const serialBits = 127
 
-// Authority issues the certificates of the VMs of one service.
+// Authority is a certificate authority that issues the certificates of the VMs
+// of one service.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that is valid until end.
+// NewAuthority creates a self-signed certificate authority that is valid until
+// end.
 func NewAuthority(end time.Time) (*Authority, error) {
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "cuminwing peers"},
@@ -36,10 +39,10 @@
 	return a, err
 }
 
-// CertPEM returns the certificate that VMs need as ca_file.
+// CertPEM returns the authority's certificate, which VMs need as ca_file.
 func (a *Authority) CertPEM() []byte { return certPEM(a.cert) }
 
-// Issue makes the certificate and key of one VM.
+// Issue creates a certificate and private key for one VM. Both are PEM-encoded.
 func (a *Authority) Issue(id Identity, end time.Time) (cert, key []byte, err error) {
 	c, k, err := a.sign(&x509.Certificate{
 		Subject:     pkix.Name{CommonName: id.VM},
@@ -53,7 +56,7 @@
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(k)
 	if err != nil {
-		return nil, nil, fmt.Errorf("encode key: %w", err)
+		return nil, nil, fmt.Errorf("encode private key: %w", err)
 	}
 	return certPEM(c), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
@@ -61,11 +64,11 @@
 func (a *Authority) sign(template *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, fmt.Errorf("make key: %w", err)
+		return nil, nil, fmt.Errorf("generate private key: %w", err)
 	}
 	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, nil, fmt.Errorf("make serial number: %w", err)
+		return nil, nil, fmt.Errorf("generate certificate serial number: %w", err)
 	}
 	parent, signer := a.cert, a.key
 	if parent == nil {
