--- a/internal/adapter/statefile/statefile.go
+++ b/internal/adapter/statefile/statefile.go
@@ -1,6 +1,7 @@
-// Package statefile keeps one small state in one file of the data folder. A
-// file is written beside the old one, synced and renamed, so that a crash
-// leaves either the old or the new state.
+// Package statefile stores small pieces of state in the data folder, each in a
+// file of its own. A file is replaced atomically: the new state is written to a
+// temporary file, synced and renamed, so that a crash leaves either the old or
+// the new state.
 package statefile
 
 import (
@@ -13,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Layout of the header: magic, format version, CRC-32C of the payload and
-// length of the payload.
+// The header consists of the magic, the format version, the CRC-32C of the
+// payload and the length of the payload.
 const (
 	magic         = "CWST"
 	formatVersion = 1
@@ -22,40 +23,41 @@
 )
 
 const (
-	filePerm   = 0o600
-	folderPerm = 0o700
+	filePerm = 0o600
+	dirPerm  = 0o700
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CorruptError says why a file is refused.
+// CorruptError reports a file whose content is not a valid state.
 type CorruptError struct{ File, Reason string }
 
-// Error names the file and the reason.
+// Error implements error.
 func (e *CorruptError) Error() string { return e.File + ": " + e.Reason }
 
-// Write replaces the state in file. It returns once the state is synced.
+// Write atomically replaces the state in file. When it returns nil, the state is
+// durable.
 func Write(file string, payload []byte) error {
-	folder := filepath.Dir(file)
-	if err := os.MkdirAll(folder, folderPerm); err != nil {
+	dir := filepath.Dir(file)
+	if err := os.MkdirAll(dir, dirPerm); err != nil {
 		return fmt.Errorf("create data folder: %w", err)
 	}
-	temporary := file + ".new"
-	if err := writeSynced(temporary, encode(payload)); err != nil {
-		return fmt.Errorf("write %s: %w", temporary, err)
+	temp := file + ".new"
+	if err := writeSynced(temp, encode(payload)); err != nil {
+		return fmt.Errorf("write %s: %w", temp, err)
 	}
-	if err := os.Rename(temporary, file); err != nil {
+	if err := os.Rename(temp, file); err != nil {
 		return fmt.Errorf("replace %s: %w", file, err)
 	}
-	return syncFolder(folder)
+	return syncDir(dir)
 }
 
-// Read returns the state in file. The error is os.ErrNotExist, possibly
-// wrapped, if there is none, and a CorruptError if it cannot be trusted.
+// Read returns the state in file. The error wraps os.ErrNotExist if the file does
+// not exist, and is a *CorruptError if its content is not a valid state.
 func Read(file string) ([]byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("read state: %w", err)
+		return nil, fmt.Errorf("read state file: %w", err)
 	}
 	payload, err := Decode(data)
 	if err != nil {
@@ -73,26 +75,26 @@
 	return append(buf, payload...)
 }
 
-// Decode checks the header of a state and returns its payload.
+// Decode verifies the content of a state file and returns the payload.
 func Decode(data []byte) ([]byte, error) {
 	if len(data) < headerBytes {
-		return nil, errors.New("file is shorter than its header")
+		return nil, errors.New("file is shorter than the header of a state file")
 	}
 	if string(data[:len(magic)]) != magic {
-		return nil, errors.New("file is not a cuminwing state file")
+		return nil, errors.New("file does not start with the magic of a cuminwing state file")
 	}
 	rest := data[len(magic):]
 	if rest[0] != formatVersion {
-		return nil, fmt.Errorf("format version is %d, want %d", rest[0], formatVersion)
+		return nil, fmt.Errorf("unsupported format version %d, want %d", rest[0], formatVersion)
 	}
 	sum := binary.LittleEndian.Uint32(rest[1:])
 	size := binary.LittleEndian.Uint64(rest[5:])
 	payload := data[headerBytes:]
 	if uint64(len(payload)) != size {
-		return nil, fmt.Errorf("payload has %d bytes, want %d", len(payload), size)
+		return nil, fmt.Errorf("payload has %d bytes, but the header says %d", len(payload), size)
 	}
 	if crc32.Checksum(payload, castagnoli) != sum {
-		return nil, errors.New("checksum does not match")
+		return nil, errors.New("checksum of the payload does not match the header")
 	}
 	return payload, nil
 }
@@ -109,8 +111,8 @@
 	return f.Sync()
 }
 
-func syncFolder(folder string) (err error) {
-	f, err := os.Open(folder)
+func syncDir(dir string) (err error) {
+	f, err := os.Open(dir)
 	if err != nil {
 		return fmt.Errorf("open data folder: %w", err)
 	}
--- a/internal/adapter/statefile/statefile_test.go
+++ b/internal/adapter/statefile/statefile_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Guards against a VM starting from a file that was cut off or damaged.
+// Guards against a VM that starts with a truncated or damaged state file.
 func TestReadRefusesDamagedFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state", "config")
 	payload := []byte("revision 7")
@@ -17,7 +17,7 @@
 	}
 	got, err := Read(file)
 	if err != nil || !bytes.Equal(got, payload) {
-		t.Fatalf("read %q, %v", got, err)
+		t.Fatalf("read the wrong payload %q, error %v", got, err)
 	}
 	whole, err := os.ReadFile(file)
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	for cut := range whole {
 		if _, err := Decode(whole[:cut]); err == nil {
-			t.Fatalf("a file cut off after %d bytes was accepted", cut)
+			t.Fatalf("a file truncated to %d bytes was accepted", cut)
 		}
 		damaged := bytes.Clone(whole)
 		damaged[cut] ^= 1
@@ -34,7 +34,7 @@
 		}
 	}
 	if _, err := Read(file + ".missing"); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("a missing file gives %v", err)
+		t.Fatalf("read of a missing file returned error %v, want os.ErrNotExist", err)
 	}
 }
 
@@ -43,7 +43,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		payload, err := Decode(data)
 		if err == nil && !bytes.Equal(encode(payload), data) {
-			t.Fatal("an accepted file does not encode to itself")
+			t.Fatal("a file that was accepted differs from the encoding of its payload")
 		}
 	})
 }
