--- a/internal/adapter/boottime/boottime.go
+++ b/internal/adapter/boottime/boottime.go
@@ -1,6 +1,7 @@
-// Package boottime reads the clock that goes on while a machine is suspended.
-// Leases that guard a promise are measured with it, because the monotonic
-// clock of the Go runtime stops during a suspension.
+// Package boottime reads CLOCK_BOOTTIME, a monotonic clock that keeps running
+// while the machine is suspended. Leases that back a promise to other VMs are
+// measured with it, because the monotonic clock of the Go runtime stops during a
+// suspension.
 package boottime
 
 import (
@@ -9,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started, suspensions included.
+// Now returns the time since the machine booted, including time suspended.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
