--- a/internal/adapter/sockopt/sockopt.go
+++ b/internal/adapter/sockopt/sockopt.go
@@ -1,5 +1,4 @@
-// Package sockopt sets options of sockets that the standard library has no
-// setting for.
+// Package sockopt sets socket options that the standard library does not support.
 package sockopt
 
 import (
@@ -10,17 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Control is the Control function of a dialer or listener.
+// Control is the type of the Control functions of net.Dialer and
+// net.ListenConfig.
 type Control func(network, address string, raw syscall.RawConn) error
 
-// AckTimeout returns a Control that bounds how long sent bytes may stay without
-// acknowledgement. A connection that has gone silent then ends with an error.
-func AckTimeout(limit time.Duration) Control {
+// AckTimeout returns a Control that sets TCP_USER_TIMEOUT, the maximum time that
+// sent data may remain unacknowledged. When it is exceeded, the connection fails
+// with an error, so that an unresponsive peer is detected.
+func AckTimeout(timeout time.Duration) Control {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit/time.Millisecond))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
 		})
-		return errors.CombineErrors(err, failed)
+		return errors.CombineErrors(err, optionErr)
 	}
 }
