--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause lets a goroutine wait until its context ends at most.
+// Package pause provides a sleep that ends early when a context is done.
 package pause
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d and reports false if ctx ended first.
+// For waits for d or until ctx is done. It reports whether ctx was still active
+// at the end.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
