--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,8 +1,9 @@
-// Package ring provides a bounded queue that joins the goroutines of a daemon.
+// Package ring provides a bounded queue, implemented as a ring buffer, that
+// connects the goroutines of a daemon.
 //
-// A full ring never blocks the producer: Push reports false and the caller
-// decides whether to drop, refuse or retry. This keeps one slow duty from
-// stopping the others.
+// A full ring does not block the producer: Push reports false, and the caller
+// decides whether to drop the item, refuse it or retry. This keeps a slow
+// consumer from blocking other work of the daemon.
 package ring
 
 import (
@@ -10,16 +11,16 @@
 	"sync"
 )
 
-// Ring is a bounded first-in first-out queue for any number of producers and
-// consumers.
+// Ring is a bounded FIFO queue. It is safe for concurrent use by any number of
+// producers and consumers.
 type Ring[T any] struct {
-	mu      sync.Mutex
-	items   []T
-	head    int
-	count   int
-	dropped uint64
-	closed  bool
-	wake    chan struct{}
+	mu       sync.Mutex
+	items    []T
+	head     int
+	count    int
+	dropped  uint64
+	closed   bool
+	notEmpty chan struct{}
 }
 
 // New returns a ring that holds up to capacity items.
@@ -28,12 +29,12 @@
 		panic("ring: capacity must be at least 1")
 	}
 	return &Ring[T]{
-		items: make([]T, capacity),
-		wake:  make(chan struct{}, 1),
+		items:    make([]T, capacity),
+		notEmpty: make(chan struct{}, 1),
 	}
 }
 
-// Push appends v. It reports false when the ring is full or closed.
+// Push appends v. It reports false if the ring is full or closed.
 func (r *Ring[T]) Push(v T) bool {
 	r.mu.Lock()
 	if r.closed || r.count == len(r.items) {
@@ -48,8 +49,9 @@
 	return true
 }
 
-// Pop removes the oldest item, waiting until there is one. It reports false
-// when the ring is closed and empty or ctx ends.
+// Pop removes and returns the oldest item. It waits while the ring is empty. It
+// reports false if the ring is closed and empty, or if ctx is done while it
+// waits.
 func (r *Ring[T]) Pop(ctx context.Context) (T, bool) {
 	for {
 		v, ok, closed := r.tryPop()
@@ -59,18 +61,19 @@
 		select {
 		case <-ctx.Done():
 			return v, false
-		case <-r.wake:
+		case <-r.notEmpty:
 		}
 	}
 }
 
-// TryPop removes the oldest item without waiting.
+// TryPop removes and returns the oldest item without waiting. It reports false
+// if the ring is empty.
 func (r *Ring[T]) TryPop() (T, bool) {
 	v, ok, _ := r.tryPop()
 	return v, ok
 }
 
-// Close rejects further items. Items already queued can still be popped.
+// Close makes Push reject further items. Queued items can still be popped.
 func (r *Ring[T]) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -85,7 +88,7 @@
 	return r.count
 }
 
-// Dropped returns how many items Push rejected.
+// Dropped returns the number of items that Push has rejected.
 func (r *Ring[T]) Dropped() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +110,8 @@
 	r.head = (r.head + 1) % len(r.items)
 	r.count--
 	if r.count > 0 {
-		// One wake-up may stand for several pushes; pass it on.
+		// Several pushes may have produced a single signal, so signal again for
+		// the remaining items.
 		r.signal()
 	}
 	return v, true, false
@@ -115,7 +119,7 @@
 
 func (r *Ring[T]) signal() {
 	select {
-	case r.wake <- struct{}{}:
+	case r.notEmpty <- struct{}{}:
 	default:
 	}
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against lost wake-ups with several consumers and against a closed
-// ring that leaves a consumer waiting.
+// Guards against lost wake-ups with several consumers, and against consumers
+// that keep waiting after the ring is closed.
 func TestRingDeliversEveryItemOnce(t *testing.T) {
 	const items, consumers = 2000, 4
 	r := New[int](8)
@@ -36,18 +36,18 @@
 	wg.Wait()
 	for i := range items {
 		if seen[i] != 1 {
-			t.Fatalf("item %d delivered %d times", i, seen[i])
+			t.Fatalf("item %d was delivered %d times, want once", i, seen[i])
 		}
 	}
 }
 
-// Guards against a full ring that blocks its producer.
+// Guards against a full ring that blocks the producer.
 func TestPushOnFullRingIsRejected(t *testing.T) {
 	r := New[int](1)
 	if !r.Push(1) || r.Push(2) {
 		t.Fatal("want the first item accepted and the second rejected")
 	}
 	if r.Dropped() != 1 {
-		t.Fatalf("dropped = %d, want 1", r.Dropped())
+		t.Fatalf("Dropped() = %d, want 1", r.Dropped())
 	}
 }
