--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback gives out free loopback addresses to fleets that run inside
-// one process: the demo, the load tool and tests.
+// Package loopback allocates free loopback addresses for clusters that run
+// within one process: the demo, the load tool and tests.
 package loopback
 
 import (
@@ -11,61 +11,61 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The ports lie below the range from which the system takes the ports of
-// outgoing connections, which may occupy a port between its choice and its
-// use. They are divided into blocks, and a process claims a block by listening
-// on its last port, so that two processes never choose the same port. A block
-// is large, so that the address of a VM that is down is not given out again
-// before the VM is restarted.
+// The ports lie below the range of ephemeral ports, because an outgoing
+// connection could otherwise occupy a port after Address has returned it and
+// before it is used. The ports are divided into blocks. A process reserves a
+// block by listening on the block's last port, so two processes never allocate
+// the same port. A block is large, so that the address of a VM that is down is
+// not allocated again before the VM is restarted.
 const (
 	firstPort     = 20000
 	portsPerBlock = 1000
-	blocks        = 12
+	portBlocks    = 12
 )
 
 var (
-	mu    sync.Mutex
-	claim net.Listener
-	base  int
-	next  int
+	mu            sync.Mutex
+	blockListener net.Listener
+	blockStart    int
+	nextOffset    int
 )
 
-var errNoPort = errors.New("no loopback port is free")
+var errNoPort = errors.New("no free loopback port")
 
-// Address returns an address that is free for TCP and UDP.
+// Address returns a loopback address whose port is free for TCP and UDP.
 func Address() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
-	if err := claimBlock(); err != nil {
+	if err := reserveBlock(); err != nil {
 		return "", err
 	}
 	for range portsPerBlock - 1 {
-		address := fmt.Sprint("127.0.0.1:", base+next)
-		next = (next + 1) % (portsPerBlock - 1)
-		if free(address) {
+		address := fmt.Sprint("127.0.0.1:", blockStart+nextOffset)
+		nextOffset = (nextOffset + 1) % (portsPerBlock - 1)
+		if isFree(address) {
 			return address, nil
 		}
 	}
 	return "", errNoPort
 }
 
-func claimBlock() error {
-	if claim != nil {
+func reserveBlock() error {
+	if blockListener != nil {
 		return nil
 	}
-	start := rand.IntN(blocks)
-	for i := range blocks {
-		first := firstPort + (start+i)%blocks*portsPerBlock
+	start := rand.IntN(portBlocks)
+	for i := range portBlocks {
+		first := firstPort + (start+i)%portBlocks*portsPerBlock
 		l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", first+portsPerBlock-1))
 		if err == nil {
-			claim, base = l, first
+			blockListener, blockStart = l, first
 			return nil
 		}
 	}
 	return errNoPort
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/internal/loopback/serve.go
+++ b/internal/loopback/serve.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// Serve hands each connection to an address of this machine to handle, in a
-// goroutine of its own, until stop is called.
+// Serve listens on a loopback address and calls handle in a new goroutine for
+// each connection, until stop is called.
 func Serve(handle func(net.Conn)) (address string, stop func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -18,6 +18,6 @@
 			go handle(conn)
 		}
 	}()
-	// The listener has nothing to flush.
+	// The error of Close is ignored because a listener has nothing to flush.
 	return l.Addr().String(), func() { _ = l.Close() }, nil
 }
