--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -2,25 +2,25 @@
 
 import "github.com/cuminwing/cuminwing/internal/keys"
 
-// Checker validates changes of a valid document. Unlike Document.Validate it
-// does not visit workspaces and rates that did not change: at 1,900 workspaces
-// an edit of one of them is checked many times faster.
+// Checker validates changes to a valid document. Unlike Document.Validate, it
+// skips the workspaces and rates that did not change: with 1,900 workspaces it
+// checks an edit of one of them many times faster.
 type Checker struct {
-	// owners maps the keys of the document to their workspaces.
+	// owners maps each key hash of the document to the workspace of the key.
 	owners map[keys.Hash]string
 }
 
-// NewChecker returns a checker for changes of d.
+// NewChecker returns a checker for changes to d, which must be valid.
 func NewChecker(d Document) *Checker {
 	c := &Checker{owners: make(map[keys.Hash]string)}
 	for name, w := range d.Workspaces {
-		c.claim(name, w)
+		c.addKeys(name, w)
 	}
 	return c
 }
 
-// Check returns every problem of next. The members of changed are those that
-// may differ from the valid document old.
+// Check returns every problem of next. changed lists, by section, the members
+// that may differ from the valid document old.
 func (c *Checker) Check(old, next Document, changed map[Section][]string) []Problem {
 	v := &validator{doc: next}
 	v.doc.Models = mapValues(next.Models, modelDefaults)
@@ -37,7 +37,7 @@
 	if len(v.problems) == 0 {
 		return nil
 	}
-	// The full check words every problem the same way on every voter.
+	// Full validation gives every voter the same problem texts.
 	return next.Validate()
 }
 
@@ -45,31 +45,31 @@
 	if len(names) == 0 {
 		return
 	}
-	freed := make(map[keys.Hash]bool)
+	removed := make(map[keys.Hash]bool)
 	for _, name := range names {
-		for _, h := range hashesOf(old.Workspaces[name]) {
-			freed[h] = true
+		for _, h := range keyHashes(old.Workspaces[name]) {
+			removed[h] = true
 		}
 	}
-	added := make(map[keys.Hash]string)
+	owners := make(map[keys.Hash]string)
 	for _, name := range names {
 		w, present := next.Workspaces[name]
 		if !present {
 			v.checkChangedRate(name)
 			continue
 		}
-		for _, h := range hashesOf(w) {
-			if owner, taken := c.owners[h]; taken && !freed[h] {
-				added[h] = owner
+		for _, h := range keyHashes(w) {
+			if owner, taken := c.owners[h]; taken && !removed[h] {
+				owners[h] = owner
 			}
 		}
-		v.checkWorkspace(name, workspaceDefaults(w), added)
+		v.checkWorkspace(name, workspaceDefaults(w), owners)
 		v.checkHasRate(name)
 	}
 }
 
-// checkChangedRate checks the rate of a workspace whose rate or whose self may
-// have been added, changed or removed.
+// checkChangedRate checks the rate of a workspace after the rate or the
+// workspace itself may have been added, changed or removed.
 func (v *validator) checkChangedRate(name string) {
 	if r, present := v.doc.Rates[name]; present {
 		v.checkRate(name, rateDefaults(r))
@@ -80,25 +80,25 @@
 	}
 }
 
-// Accept takes over a change that Check found valid.
+// Accept updates the checker after a change that Check found valid.
 func (c *Checker) Accept(old, next Document, changed map[Section][]string) {
 	for _, name := range changed[SectionWorkspaces] {
-		for _, h := range hashesOf(old.Workspaces[name]) {
+		for _, h := range keyHashes(old.Workspaces[name]) {
 			delete(c.owners, h)
 		}
 	}
 	for _, name := range changed[SectionWorkspaces] {
-		c.claim(name, next.Workspaces[name])
+		c.addKeys(name, next.Workspaces[name])
 	}
 }
 
-func (c *Checker) claim(name string, w Workspace) {
-	for _, h := range hashesOf(w) {
+func (c *Checker) addKeys(name string, w Workspace) {
+	for _, h := range keyHashes(w) {
 		c.owners[h] = name
 	}
 }
 
-func hashesOf(w Workspace) []keys.Hash {
+func keyHashes(w Workspace) []keys.Hash {
 	hashes := make([]keys.Hash, 0, len(w.Keys))
 	for _, k := range w.Keys {
 		if h, err := keys.ParseHash(k.SHA256); err == nil {
--- a/internal/config/checker_test.go
+++ b/internal/config/checker_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against an edit that the check of changes accepts although the whole
-// document does not validate, or the other way round.
+// Guards against an edit on which the incremental check and the validation of
+// the whole document disagree.
 func TestCheckerAgreesWithFullValidation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Document{
@@ -25,7 +25,7 @@
 			next, changed := randomEdit(t, d)
 			got, want := checker.Check(d, next, changed), next.Validate()
 			if len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
-				t.Fatalf("check of the change gives %v, full validation %v", got, want)
+				t.Fatalf("incremental check returned %v, full validation %v", got, want)
 			}
 			if len(want) == 0 {
 				checker.Accept(d, next, changed)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against a merge that differs from RFC 7396; the cases are those of its
-// appendix A that start from an object, one member down.
+// Guards against a merge that differs from RFC 7396. The cases are those of its
+// appendix A that start from an object, nested one level deeper.
 func TestMergeFollowsRFC7396(t *testing.T) {
 	for _, c := range []struct{ old, patch, want string }{
 		{`{"a":"b"}`, `{"a":"c"}`, `{"a":"c"}`},
@@ -31,13 +31,13 @@
 		}
 		merged, _, err := section.Merge([]byte(`{"m":` + c.patch + `}`))
 		if err != nil || string(merged["m"]) != c.want {
-			t.Errorf("%s with %s gives %s (%v), want %s", c.old, c.patch, merged["m"], err, c.want)
+			t.Errorf("merging %s with patch %s gives %s (%v), want %s", c.old, c.patch, merged["m"], err, c.want)
 		}
 	}
 }
 
-// Guards against an operator's edit that does not give the document in the
-// file.
+// Guards against a merge patch that, applied to the current section, does not
+// produce the section in the operator's file.
 func FuzzDiffThenMergeGivesTarget(f *testing.F) {
 	f.Add(`{"a":{"keys":[1],"w":2}}`, `{"a":{"keys":[1,2]},"b":{"x":{"y":1}}}`)
 	f.Add(`{"a":1}`, `{}`)
@@ -57,12 +57,13 @@
 		}
 		got, _, err := old.Merge(patch)
 		if err != nil || string(got.JSON()) != string(want.JSON()) {
-			t.Fatalf("%s with %s gives %s (%v), want %s", from, patch, got.JSON(), err, want.JSON())
+			t.Fatalf("merging %s with patch %s gives %s (%v), want %s", from, patch, got.JSON(), err, want.JSON())
 		}
 	})
 }
 
-// Guards against an operator's file that breaks the parser.
+// Guards against a document file that crashes the parser or is accepted but
+// cannot be encoded again.
 func FuzzParseFile(f *testing.F) {
 	f.Add([]byte(`{"models":{"m":{"serving_version":"v1"}},"base":{"models":{"revision":3,"sha256":""}}}`))
 	f.Add([]byte(`{"limits":{"max_body_bytes":-1},"zones":null}`))
@@ -73,12 +74,13 @@
 		}
 		file.Document()
 		if _, err := file.JSON(); err != nil {
-			t.Fatalf("an accepted file cannot be written: %v", err)
+			t.Fatalf("cannot encode an accepted file: %v", err)
 		}
 	})
 }
 
-// Guards against an operator who has to fix a document one refusal at a time.
+// Guards against a validation that stops at the first problem, so that an
+// operator has to fix a document one problem at a time.
 func TestAllProblemsAreReportedAtOnce(t *testing.T) {
 	_, err := Parse([]byte(`{
 		"models": {"m": {"serving_version": "v1", "ordered_version": "v1", "block_tokens": 0}},
@@ -88,7 +90,7 @@
 		"zones": {"z": {"region": "r", "vm_slots": 0}}
 	}`))
 	if err == nil {
-		t.Fatal("the document was accepted")
+		t.Fatal("Parse accepted an invalid document")
 	}
 	for _, path := range []string{
 		"models.m.ordered_version", "models.m.block_tokens", "workspaces.w.on_unconfirmed_keys",
@@ -96,7 +98,7 @@
 		"rates: workspace \"w\"", "routes.r.model", "routes.r.hedge_after_ms", "zones.z.vm_slots",
 	} {
 		if !strings.Contains(err.Error(), "\n  "+path) {
-			t.Errorf("no problem at %s in:\n%v", path, err)
+			t.Errorf("no problem reported at %s in:\n%v", path, err)
 		}
 	}
 }
@@ -110,13 +112,13 @@
 			t.Fatal(err)
 		}
 		if problems := CheckMembers(SectionRates, contents, []string{"w"}); len(problems) != 2 {
-			t.Errorf("%.20s: %v, want two problems", number, problems)
+			t.Errorf("number %.20s: problems %v, want two", number, problems)
 		}
 	}
 }
 
-// Guards against a schema that forgets a field, invents one, or states another
-// default than the daemon uses.
+// Guards against a schema that lacks a field, has a field that the types lack,
+// or states a default other than the one the daemon uses.
 func TestSchemaMatchesTypes(t *testing.T) {
 	var schema struct {
 		Defs map[string]struct {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -1,6 +1,6 @@
 package config
 
-// Defaults of optional fields.
+// Default values of the optional fields of the document.
 const (
 	DefaultBlockTokens              = 1000
 	DefaultMaxConcurrentLoads       = 2
@@ -26,12 +26,13 @@
 	DefaultClaimRetentionSeconds    = 24 * 3600
 )
 
-// MinKeyLeaseMS is the shortest lease of keys: VMs renew their contact with the
-// control VMs every 2 s, some of them through another VM of the zone.
+// MinKeyLeaseMS is the minimum of Workspace.KeyLeaseMS. The lease has to
+// outlast the renewal of a VM's contact with the control VMs, which happens
+// every 2 s and for some VMs through another VM of the zone.
 const MinKeyLeaseMS = 6000
 
-// WithDefaults returns a copy of d in which every unset optional field has its
-// default.
+// WithDefaults returns a copy of d with the default in every optional field
+// that is not set.
 func (d Document) WithDefaults() Document {
 	d.Models = mapValues(d.Models, modelDefaults)
 	d.Workspaces = mapValues(d.Workspaces, workspaceDefaults)
--- a/internal/config/docfile.go
+++ b/internal/config/docfile.go
@@ -8,31 +8,33 @@
 	"fmt"
 )
 
-// Base says which state of a section a document file was read from. With it an
-// edit of the file is accepted only if nobody else changed the section.
+// Base identifies the state of a section from which a document file was read.
+// With it, an edit of the file is accepted only if nobody else has changed the
+// section since.
 type Base struct {
 	// Revision is the revision of the section.
 	Revision uint64 `json:"revision"`
-	// EditID names the edit that set it.
+	// EditID is the ID of the edit that created this revision.
 	EditID string `json:"edit_id,omitempty"`
-	// SHA256 is the digest of the contents; a section that still has it is
-	// not part of the edit.
+	// SHA256 is the digest of the contents. A section of the file that still
+	// has this digest is not part of the edit.
 	SHA256 string `json:"sha256"`
 }
 
-// baseField holds the bases in a document file. It is no section.
+// baseField is the field of a document file that holds the bases. It is not a
+// section.
 const baseField = "base"
 
-// File is a document file as operators edit it: all or some sections, and the
-// state that they were read from.
+// File is a document file as operators edit it: some or all sections, and the
+// state from which they were read.
 type File struct {
-	// Base holds the state of each section when it was read.
+	// Base holds the state of each section at the time of reading.
 	Base map[Section]Base
-	// Sections holds the sections in the file.
+	// Sections holds the sections that the file contains.
 	Sections map[Section]Contents
 }
 
-// ParseFile decodes a document file without checking the sections.
+// ParseFile decodes a document file. It does not validate the sections.
 func ParseFile(data []byte) (*File, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -64,7 +66,7 @@
 	return f, nil
 }
 
-// syntaxProblem names the line of a syntax error.
+// syntaxProblem reports a JSON syntax error with its line number.
 func syntaxProblem(data []byte, err error) Problem {
 	offset := int64(0)
 	switch e := err.(type) {
@@ -77,17 +79,18 @@
 	return Problem{Path: "$", Reason: fmt.Sprintf("line %d: %v", line, err)}
 }
 
-// Digest identifies the contents of a section.
+// Digest returns the hexadecimal SHA-256 of the section's JSON.
 func (c Contents) Digest() string {
 	sum := sha256.Sum256(c.JSON())
 	return hex.EncodeToString(sum[:])
 }
 
-// JSON encodes the file, indented and with the sections in document order.
+// JSON encodes the file with indentation and with the sections in document
+// order.
 func (f *File) JSON() ([]byte, error) {
 	var buf bytes.Buffer
 	buf.WriteByte('{')
-	separate := func(name string) {
+	writeName := func(name string) {
 		if buf.Len() > 1 {
 			buf.WriteByte(',')
 		}
@@ -98,12 +101,12 @@
 		if err != nil {
 			return nil, err
 		}
-		separate(baseField)
+		writeName(baseField)
 		buf.Write(base)
 	}
 	for _, name := range Sections {
 		if contents, present := f.Sections[name]; present {
-			separate(string(name))
+			writeName(string(name))
 			buf.Write(contents.JSON())
 		}
 	}
@@ -117,7 +120,8 @@
 }
 
 // Document decodes the sections of the file and returns every problem found,
-// also between sections. Sections that the file lacks are empty.
+// including references between sections. Sections that are not in the file are
+// empty.
 func (f *File) Document() (*Document, []Problem) {
 	var d Document
 	var problems []Problem
@@ -127,27 +131,28 @@
 		if !present {
 			continue
 		}
-		members := contents.names()
+		members := contents.memberNames()
 		found := CheckMembers(name, contents, members)
-		next, typed := d.WithMembers(name, contents, members)
-		if len(typed) > 0 {
+		next, decodeProblems := d.WithMembers(name, contents, members)
+		if len(decodeProblems) > 0 {
 			decoded = false
 		}
 		if len(found) == 0 {
-			found = typed
+			found = decodeProblems
 		}
 		d = next
 		problems = append(problems, found...)
 	}
-	// Sections that lack a member would give problems that are not real.
+	// A section with members that were not decoded would cause false problems.
 	if decoded {
-		problems = addNew(problems, d.Validate())
+		problems = appendUnreported(problems, d.Validate())
 	}
 	return &d, sortProblems(problems)
 }
 
-// addNew adds the problems at paths that have none yet.
-func addNew(problems, more []Problem) []Problem {
+// appendUnreported appends the problems of more at paths that have no problem
+// yet.
+func appendUnreported(problems, more []Problem) []Problem {
 	reported := make(map[string]bool)
 	for _, p := range problems {
 		reported[p.Path] = true
@@ -160,16 +165,17 @@
 	return problems
 }
 
-// CheckSections returns the problems of each section alone.
+// CheckSections returns the problems of each section on its own, without
+// references between sections.
 func (f *File) CheckSections() []Problem {
 	var problems []Problem
 	for name, contents := range f.Sections {
-		problems = append(problems, CheckMembers(name, contents, contents.names())...)
+		problems = append(problems, CheckMembers(name, contents, contents.memberNames())...)
 	}
 	return sortProblems(problems)
 }
 
-// Whole reports whether the file has every section that a document needs.
+// Whole reports whether the file has every required section.
 func (f *File) Whole() bool {
 	for _, name := range []Section{SectionModels, SectionWorkspaces, SectionRates, SectionRoutes, SectionZones} {
 		if _, present := f.Sections[name]; !present {
@@ -179,4 +185,4 @@
 	return true
 }
 
-func (c Contents) names() []string { return sortedNames(c) }
+func (c Contents) memberNames() []string { return sortedNames(c) }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,12 +1,12 @@
-// Package config holds the service document: the one JSON document with which
+// Package config holds the service document: the JSON document in which
 // operators describe models, workspaces, rates, routes, objectives, limits and
 // zones. The package does no I/O.
 package config
 
 import "time"
 
-// Section names one top-level part of the document. Each section has its own
-// revision and its own owning team.
+// Section is the name of a top-level part of the document. Each section has its
+// own revision and its own owning team.
 type Section string
 
 // The sections of the document.
@@ -31,57 +31,58 @@
 	SectionZones,
 }
 
-// Document is the whole service configuration.
+// Document is the complete service configuration.
 type Document struct {
-	// Models lists the models by name.
+	// Models maps names to models.
 	Models map[string]Model `json:"models"`
-	// Workspaces lists the workspaces by name, with their keys.
+	// Workspaces maps names to workspaces and their keys.
 	Workspaces map[string]Workspace `json:"workspaces"`
-	// Rates gives the token rate and burst of each workspace by name.
+	// Rates maps workspace names to their token rate and burst.
 	Rates map[string]Rate `json:"rates"`
-	// Routes lists the routes by name.
+	// Routes maps names to routes.
 	Routes map[string]Route `json:"routes"`
-	// Objectives lists the service-level objectives by name.
+	// Objectives maps names to service-level objectives.
 	Objectives map[string]Objective `json:"objectives,omitempty"`
 	// Limits bounds what a caller may send.
 	Limits Limits `json:"limits"`
-	// Zones lists the availability zones by name.
+	// Zones maps names to availability zones.
 	Zones map[string]Zone `json:"zones"`
 }
 
-// Model is one model and the weights version that may answer requests.
+// Model is one model and the weights version that serves its requests.
 type Model struct {
 	// ServingVersion is the weights version that requests run on.
 	ServingVersion string `json:"serving_version"`
-	// OrderedVersion is the version being rolled out; empty when none is.
+	// OrderedVersion is the weights version being rolled out; empty if there is
+	// no roll-out.
 	OrderedVersion string `json:"ordered_version,omitempty"`
 	// Adapters lists the adapters that requests may name.
 	Adapters []string `json:"adapters,omitempty"`
 	// BlockTokens is the number of tokens in one cached block.
 	BlockTokens int `json:"block_tokens,omitempty"`
-	// MaxConcurrentLoads bounds how many engines load weights at once.
+	// MaxConcurrentLoads limits how many engines load weights at the same time.
 	MaxConcurrentLoads int `json:"max_concurrent_loads,omitempty"`
 	// PrefillTokensPerSecond is the expected prefill speed of one engine.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second,omitempty"`
 	// KVBytesPerToken is the size of the KV cache of one token.
 	KVBytesPerToken int `json:"kv_bytes_per_token,omitempty"`
-	// MaxContextTokens is the longest prompt plus answer.
+	// MaxContextTokens is the maximum length of the prompt plus the answer.
 	MaxContextTokens int `json:"max_context_tokens,omitempty"`
 }
 
 // Workspace is one customer of the service.
 type Workspace struct {
-	// Keys lists the caller keys of the workspace.
+	// Keys lists the API keys of the workspace.
 	Keys []Key `json:"keys,omitempty"`
-	// Weight is the share of the workspace in fair queueing.
+	// Weight is the weight of the workspace in fair queueing.
 	Weight float64 `json:"weight,omitempty"`
-	// OnUnconfirmedKeys says what a zone does with keys that it can no longer
-	// confirm with a control VM: "serve" or "refuse".
+	// OnUnconfirmedKeys says what a zone does with requests whose keys it can
+	// no longer confirm with a control VM: "serve" or "refuse".
 	OnUnconfirmedKeys string `json:"on_unconfirmed_keys,omitempty"`
-	// KeyLeaseMS is how long keys count as confirmed when OnUnconfirmedKeys
-	// is "refuse".
+	// KeyLeaseMS is how long keys count as confirmed if OnUnconfirmedKeys is
+	// "refuse".
 	KeyLeaseMS int `json:"key_lease_ms,omitempty"`
-	// MaxConcurrent bounds the running requests of the workspace on one VM.
+	// MaxConcurrent limits the running requests of the workspace on one VM.
 	MaxConcurrent int `json:"max_concurrent,omitempty"`
 }
 
@@ -91,60 +92,63 @@
 	UnconfirmedRefuse = "refuse"
 )
 
-// Key is one caller key, known only by its hash.
+// Key is one API key of a workspace. Only its hash is stored.
 type Key struct {
-	// ID names the key in logs and tools.
+	// ID identifies the key in logs and tools.
 	ID string `json:"id"`
 	// SHA256 is the hexadecimal hash of the key.
 	SHA256 string `json:"sha256"`
 }
 
-// Rate is the token rate of a workspace over all VMs together.
+// Rate is the token rate limit of a workspace over all VMs together.
 type Rate struct {
 	// RateTokensPerSecond is the sustained rate.
 	RateTokensPerSecond float64 `json:"rate_tokens_per_second"`
-	// BurstTokens is the largest number of tokens admitted at once.
+	// BurstTokens is the maximum number of tokens admitted at once.
 	BurstTokens float64 `json:"burst_tokens"`
-	// MaxWaitMS is how long an admission may wait for tokens.
+	// MaxWaitMS is the maximum time that a request waits for tokens at
+	// admission.
 	MaxWaitMS int `json:"max_wait_ms,omitempty"`
-	// FloorFraction is the part of rate and burst that is split over the VM
-	// slots and stays usable when a zone is cut off.
+	// FloorFraction is the fraction of rate and burst that is split over the VM
+	// slots and stays usable while a zone is disconnected.
 	FloorFraction float64 `json:"floor_fraction,omitempty"`
 }
 
-// Access of a route.
+// Values of Route.Access.
 const (
 	AccessKeyed = "keyed"
 	AccessOpen  = "open"
 )
 
-// Execution rules of a route.
+// Values of Route.Run.
 const (
 	RunIdempotent = "idempotent"
 	RunAtMostOnce = "at-most-once"
 )
 
-// Kinds of route.
+// Values of Route.Kind.
 const (
 	KindModel   = "model"
 	KindService = "service"
 )
 
-// Classes of work.
+// Values of Route.Class.
 const (
 	ClassInteractive = "interactive"
 	ClassCatalogue   = "catalogue"
 )
 
-// Route maps callers' requests to a group of targets.
+// Route maps requests to a group of targets.
 type Route struct {
 	// Kind is "model" or "service".
 	Kind string `json:"kind"`
-	// Model is the model that the route serves; callers name it in the body.
+	// Model is the model that the route serves. Callers name it in the request
+	// body.
 	Model string `json:"model,omitempty"`
-	// Service is the name under which plain services announce themselves.
+	// Service is the service name in the announcements of the route's targets;
+	// service routes only.
 	Service string `json:"service,omitempty"`
-	// PathPrefix selects the route by path; services only.
+	// PathPrefix selects the route by the request path; service routes only.
 	PathPrefix string `json:"path_prefix,omitempty"`
 	// Access is "keyed" or "open".
 	Access string `json:"access,omitempty"`
@@ -152,66 +156,72 @@
 	Run string `json:"run,omitempty"`
 	// Class is "interactive" or "catalogue".
 	Class string `json:"class,omitempty"`
-	// Workspaces limits a keyed route to these workspaces; empty means all.
+	// Workspaces lists the workspaces that may use a keyed route; empty means
+	// all.
 	Workspaces []string `json:"workspaces,omitempty"`
-	// TimeoutMS bounds the whole request.
+	// TimeoutMS limits the whole request.
 	TimeoutMS int `json:"timeout_ms,omitempty"`
-	// FirstTokenTimeoutMS is the stall limit before the first token.
+	// FirstTokenTimeoutMS is the timeout for the first token.
 	FirstTokenTimeoutMS int `json:"first_token_timeout_ms,omitempty"`
-	// TokenGapTimeoutMS is the stall limit between tokens.
+	// TokenGapTimeoutMS is the timeout between two tokens.
 	TokenGapTimeoutMS int `json:"token_gap_timeout_ms,omitempty"`
-	// MaxAttempts bounds the attempts of an idempotent request.
+	// MaxAttempts limits the attempts of an idempotent request.
 	MaxAttempts int `json:"max_attempts,omitempty"`
-	// HedgeAfterMS starts a second attempt of a short idempotent call; zero
-	// turns hedging off.
+	// HedgeAfterMS is the delay after which a short idempotent call gets a
+	// second, hedged attempt; zero disables hedging.
 	HedgeAfterMS int `json:"hedge_after_ms,omitempty"`
-	// CostTokens is what one call of a service is charged against the rate.
+	// CostTokens is the number of tokens that one call of a service costs
+	// against the rate.
 	CostTokens int `json:"cost_tokens,omitempty"`
 }
 
-// Timeout returns the bound of the whole request.
+// Timeout returns the timeout of the whole request.
 func (r *Route) Timeout() time.Duration { return milliseconds(r.TimeoutMS) }
 
-// FirstTokenTimeout returns the stall limit before the first token.
+// FirstTokenTimeout returns the timeout for the first token.
 func (r *Route) FirstTokenTimeout() time.Duration { return milliseconds(r.FirstTokenTimeoutMS) }
 
-// TokenGapTimeout returns the stall limit between tokens.
+// TokenGapTimeout returns the timeout between two tokens.
 func (r *Route) TokenGapTimeout() time.Duration { return milliseconds(r.TokenGapTimeoutMS) }
 
 // Objective is one service-level objective.
 type Objective struct {
-	// Route is the route it applies to.
+	// Route is the name of the route that the objective applies to.
 	Route string `json:"route"`
-	// Workspace narrows it to one workspace; empty means each workspace.
+	// Workspace restricts the objective to one workspace; if empty, it applies
+	// to each workspace separately.
 	Workspace string `json:"workspace,omitempty"`
 	// Kind is "first_token", "token_gap", "in_rate_refusals" or
 	// "complete_answers".
 	Kind string `json:"kind"`
-	// ThresholdMS is the latency that a good event stays under; latency kinds
-	// only.
+	// ThresholdMS is the maximum latency of a good event; only for the latency
+	// kinds "first_token" and "token_gap".
 	ThresholdMS int `json:"threshold_ms,omitempty"`
 	// Target is the fraction of events that must be good.
 	Target float64 `json:"target"`
 }
 
-// Limits bounds what one caller may send and hold.
+// Limits bounds the size and number of requests.
 type Limits struct {
-	// MaxHeaderBytes bounds the request header.
+	// MaxHeaderBytes limits the request header.
 	MaxHeaderBytes int `json:"max_header_bytes,omitempty"`
-	// MaxBodyBytes bounds the request body.
+	// MaxBodyBytes limits the request body.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty"`
-	// MaxPromptTokens bounds the prompt.
+	// MaxPromptTokens limits the prompt.
 	MaxPromptTokens int `json:"max_prompt_tokens,omitempty"`
-	// MaxConcurrentPerVM bounds the running requests of one VM.
+	// MaxConcurrentPerVM limits the running requests of one VM.
 	MaxConcurrentPerVM int `json:"max_concurrent_per_vm,omitempty"`
-	// DefaultMaxTokens is the answer length assumed when a request sets none.
+	// DefaultMaxTokens is the answer length assumed for a request that sets
+	// none.
 	DefaultMaxTokens int `json:"default_max_tokens,omitempty"`
-	// HeartbeatMS is the interval of heartbeat comments to waiting callers.
+	// HeartbeatMS is the interval of the heartbeat comments sent to waiting
+	// callers.
 	HeartbeatMS int `json:"heartbeat_ms,omitempty"`
-	// RegionLinkBytesPerSecond is the share of the link between regions that
-	// prompts and KV transfers may use, over all VMs.
+	// RegionLinkBytesPerSecond is the bandwidth between regions that prompts
+	// and KV transfers may use, over all VMs together.
 	RegionLinkBytesPerSecond int64 `json:"region_link_bytes_per_second,omitempty"`
-	// ClaimRetentionSeconds is how long at-most-once records are kept.
+	// ClaimRetentionSeconds is how long the records of at-most-once requests
+	// are kept.
 	ClaimRetentionSeconds int `json:"claim_retention_seconds,omitempty"`
 }
 
@@ -219,7 +229,8 @@
 type Zone struct {
 	// Region is the region of the zone.
 	Region string `json:"region"`
-	// VMSlots is the number of VM slots; each VM's settings name its slot.
+	// VMSlots is the number of VM slots in the zone. The settings of each VM
+	// state its slot.
 	VMSlots int `json:"vm_slots"`
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,10 +8,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// InvalidError lists why a document is refused.
+// InvalidError lists the problems of an invalid document.
 type InvalidError struct{ Problems []Problem }
 
-// Error returns the problems, one on a line.
+// Error returns the problems, one per line.
 func (e *InvalidError) Error() string {
 	var buf bytes.Buffer
 	buf.WriteString("the document is refused:")
@@ -21,7 +21,7 @@
 	return buf.String()
 }
 
-// Parse decodes and validates a document. It reports every problem found.
+// Parse decodes and validates a document. The error lists every problem found.
 func Parse(data []byte) (*Document, error) {
 	f, err := ParseFile(data)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return d, nil
 }
 
-// LoadFile reads a document; an empty name gives none.
+// LoadFile reads and validates the document in the named file. It returns nil
+// if name is empty.
 func LoadFile(name string) (*Document, error) {
 	if name == "" {
 		return nil, nil
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -8,18 +8,18 @@
 	"sort"
 )
 
-// Contents is one section as raw JSON: its object's members by name. A value
-// is immutable; Merge returns a new one.
+// Contents is one section as raw JSON: its members by name. A Contents must not
+// be modified; Merge returns a new one.
 type Contents map[string]json.RawMessage
 
-// ParseContents decodes the object of one section.
+// ParseContents decodes the JSON object of one section.
 func ParseContents(data []byte) (Contents, error) {
 	var c Contents
 	if err := json.Unmarshal(data, &c); err != nil {
 		return nil, err
 	}
 	for name, raw := range c {
-		compact, err := canonical(raw)
+		compact, err := canonicalize(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -33,13 +33,13 @@
 	if c == nil {
 		return []byte("{}")
 	}
-	// Members are valid JSON, so encoding cannot fail.
+	// The members are valid JSON, so encoding cannot fail.
 	data, _ := json.Marshal(map[string]json.RawMessage(c))
 	return data
 }
 
-// Merge applies a JSON merge patch (RFC 7396). It returns the merged section
-// and the names of the members that the patch mentions, sorted.
+// Merge applies a JSON merge patch (RFC 7396) to the section. It returns the
+// merged section and the sorted names of the members in the patch.
 func (c Contents) Merge(patch []byte) (Contents, []string, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(patch, &members); err != nil {
@@ -59,7 +59,7 @@
 			delete(merged, name)
 			continue
 		}
-		value, err := mergeValue(merged[name], member)
+		value, err := mergeRaw(merged[name], member)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -69,7 +69,7 @@
 	return merged, changed, nil
 }
 
-func mergeValue(old, patch json.RawMessage) (json.RawMessage, error) {
+func mergeRaw(old, patch json.RawMessage) (json.RawMessage, error) {
 	change, err := decodeValue(patch)
 	if err != nil {
 		return nil, err
@@ -103,7 +103,8 @@
 	return object
 }
 
-// Diff returns the merge patch that turns c into want; nil if they are equal.
+// Diff returns the merge patch that turns c into want, or nil if they are
+// equal.
 func (c Contents) Diff(want Contents) []byte {
 	patch := make(map[string]any)
 	for name := range c {
@@ -162,9 +163,9 @@
 	return bytes.Equal(x, y)
 }
 
-// canonical gives equal values equal bytes: members sorted, no white space,
-// numbers as written.
-func canonical(raw json.RawMessage) (json.RawMessage, error) {
+// canonicalize encodes equal values as equal bytes: sorted members, no white
+// space, and numbers as written.
+func canonicalize(raw json.RawMessage) (json.RawMessage, error) {
 	value, err := decodeValue(raw)
 	if err != nil {
 		return nil, err
@@ -195,7 +196,8 @@
 }
 
 // AppendKey returns the merge patch that adds a key to a workspace. A merge
-// patch replaces lists as a whole, so it repeats the keys of that workspace.
+// patch replaces lists as a whole, so the patch repeats the existing keys of
+// the workspace.
 func (c Contents) AppendKey(workspace string, key Key) ([]byte, error) {
 	var entry Workspace
 	if raw, known := c[workspace]; known {
--- a/internal/config/reference.go
+++ b/internal/config/reference.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// schemaNode is the part of a JSON schema that the reference page shows.
+// schemaNode holds the parts of a JSON schema that the reference page shows.
 type schemaNode struct {
 	Description          string          `json:"description"`
 	Type                 string          `json:"type"`
@@ -27,7 +27,8 @@
 	Defs                 schemaMembers   `json:"$defs"`
 }
 
-// schemaMembers keeps the order of the schema file.
+// schemaMembers holds the members of a JSON object in the order of the schema
+// file.
 type schemaMembers []schemaMember
 
 type schemaMember struct {
@@ -66,11 +67,11 @@
 
 const refPrefix = "#/$defs/"
 
-// Reference returns the page docs/configuration.md, made from the schema.
+// Reference returns the page docs/configuration.md, generated from the schema.
 func Reference() (string, error) {
 	var root schemaNode
 	if err := json.Unmarshal(Schema, &root); err != nil {
-		return "", fmt.Errorf("embedded schema: %w", err)
+		return "", fmt.Errorf("decode embedded schema: %w", err)
 	}
 	var page strings.Builder
 	page.WriteString(referenceHead)
@@ -95,7 +96,7 @@
 	def := strings.TrimPrefix(section.Ref, refPrefix)
 	if section.Ref == "" {
 		var member schemaNode
-		// The schema test makes sure that each section has members.
+		// The schema test ensures that each section has members.
 		_ = json.Unmarshal(section.AdditionalProperties, &member)
 		def = strings.TrimPrefix(member.Ref, refPrefix)
 	}
--- a/internal/config/reference_test.go
+++ b/internal/config/reference_test.go
@@ -6,8 +6,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// Guards against a reference page that no longer fits the schema. The flag
-// -update writes the page anew.
+// Guards against a reference page that does not match the schema. The flag
+// -update regenerates the page.
 func TestReferencePage(t *testing.T) {
 	page, err := Reference()
 	if err != nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -20,11 +20,13 @@
 //go:embed schema.json
 var Schema []byte
 
-// schemaURL only names the schema inside the compiler; nothing is fetched.
+// schemaURL identifies the schema inside the compiler. Nothing is fetched from
+// it.
 const schemaURL = "https://cuminwing.invalid/schema.json"
 
-// sectionDefs names the definition of one member of each section. The section
-// limits is one object and has no members of the same shape.
+// sectionDefs maps each section to the schema definition of its members. The
+// section limits is a single object; its definition describes the whole
+// section.
 var sectionDefs = map[Section]string{
 	SectionModels:     "model",
 	SectionWorkspaces: "workspace",
@@ -35,14 +37,14 @@
 	SectionZones:      "zone",
 }
 
-var compiled = sync.OnceValue(func() map[Section]*jsonschema.Schema {
+var compiledSchemas = sync.OnceValue(func() map[Section]*jsonschema.Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
 		panic(fmt.Sprintf("embedded schema is not JSON: %v", err))
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource(schemaURL, document); err != nil {
-		panic(fmt.Sprintf("embedded schema is refused: %v", err))
+		panic(fmt.Sprintf("load embedded schema: %v", err))
 	}
 	schemas := make(map[Section]*jsonschema.Schema, len(sectionDefs))
 	for section, def := range sectionDefs {
@@ -51,19 +53,19 @@
 	return schemas
 })
 
-var namePattern = sync.OnceValue(func() *jsonschema.Schema {
+var nameSchema = sync.OnceValue(func() *jsonschema.Schema {
 	document, _ := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource(schemaURL, document); err != nil {
-		panic(fmt.Sprintf("embedded schema is refused: %v", err))
+		panic(fmt.Sprintf("load embedded schema: %v", err))
 	}
 	return compiler.MustCompile(schemaURL + "#/$defs/name")
 })
 
 // CheckMembers checks the named members of a section against the schema and
-// returns every problem, sorted. Names that contents lacks are passed over.
+// returns every problem, sorted. It skips names that contents does not have.
 func CheckMembers(s Section, contents Contents, names []string) []Problem {
-	schema, known := compiled()[s]
+	schema, known := compiledSchemas()[s]
 	if !known {
 		return []Problem{{Path: string(s), Reason: "is not a section of the document"}}
 	}
@@ -76,7 +78,7 @@
 		if !present {
 			continue
 		}
-		if namePattern().Validate(name) != nil {
+		if nameSchema().Validate(name) != nil {
 			problems = append(problems, Problem{Path: string(s) + "." + name, Reason: "is not a valid name: want letters, digits, dots, underscores and hyphens, at most 64"})
 		}
 		problems = append(problems, checkValue(schema, string(s)+"."+name, raw)...)
@@ -89,72 +91,74 @@
 	if err != nil {
 		return []Problem{{Path: path, Reason: err.Error()}}
 	}
-	if problems := hugeNumbers(path, value); len(problems) > 0 {
+	if problems := outOfRangeNumbers(path, value); len(problems) > 0 {
 		return problems
 	}
 	var invalid *jsonschema.ValidationError
 	if err := schema.Validate(value); !errors.As(err, &invalid) {
 		return nil
 	}
-	return leaves(path, invalid)
+	return leafProblems(path, invalid)
 }
 
-// maxNumberLength and maxExponent bound numbers before the schema sees them:
-// its library computes with exact fractions and panics at exponents of
-// millions. A float64 has exponents up to 308.
+// maxNumberLength and maxExponent limit the numbers that are passed to the
+// schema library, which computes with exact fractions and panics at exponents
+// of millions. The exponents of a float64 go up to 308.
 const (
 	maxNumberLength = 64
 	maxExponent     = 308
 )
 
-// hugeNumbers reports the numbers that no field can hold.
-func hugeNumbers(path string, value any) []Problem {
+// outOfRangeNumbers returns a problem for every number that exceeds these
+// limits.
+func outOfRangeNumbers(path string, value any) []Problem {
 	var problems []Problem
 	switch v := value.(type) {
 	case json.Number:
-		if !boundedNumber(string(v)) {
+		if !numberInRange(string(v)) {
 			problems = []Problem{{Path: path, Reason: "is a number out of range"}}
 		}
 	case []any:
 		for i, item := range v {
-			problems = append(problems, hugeNumbers(fmt.Sprintf("%s[%d]", path, i), item)...)
+			problems = append(problems, outOfRangeNumbers(fmt.Sprintf("%s[%d]", path, i), item)...)
 		}
 	case map[string]any:
 		for name, item := range v {
-			problems = append(problems, hugeNumbers(path+"."+name, item)...)
+			problems = append(problems, outOfRangeNumbers(path+"."+name, item)...)
 		}
 	}
 	return problems
 }
 
-func boundedNumber(text string) bool {
+func numberInRange(text string) bool {
 	if len(text) > maxNumberLength {
 		return false
 	}
-	_, exponent, has := strings.Cut(strings.ToLower(text), "e")
-	if !has {
+	_, exponent, hasExponent := strings.Cut(strings.ToLower(text), "e")
+	if !hasExponent {
 		return true
 	}
 	n, err := strconv.Atoi(exponent)
 	return err == nil && n >= -maxExponent && n <= maxExponent
 }
 
-var english = message.NewPrinter(language.English)
+var englishPrinter = message.NewPrinter(language.English)
 
-// leaves returns the errors that have no cause of their own.
-func leaves(path string, e *jsonschema.ValidationError) []Problem {
+// leafProblems returns the validation errors that have no further causes.
+func leafProblems(path string, e *jsonschema.ValidationError) []Problem {
 	if len(e.Causes) == 0 {
-		return []Problem{{Path: path + pathSuffix(e.InstanceLocation), Reason: e.ErrorKind.LocalizedString(english)}}
+		return []Problem{{Path: path + pathSuffix(e.InstanceLocation), Reason: e.ErrorKind.LocalizedString(englishPrinter)}}
 	}
 	var problems []Problem
 	for _, cause := range e.Causes {
-		problems = append(problems, leaves(path, cause)...)
+		problems = append(problems, leafProblems(path, cause)...)
 	}
 	return problems
 }
 
-// pathSuffix writes list indexes in brackets. A member of a document's objects
-// is never a number, because field names are fixed below the sections.
+// pathSuffix formats the location of a value below a member and puts list
+// indexes in brackets. A numeric step is always a list index, because the field
+// names below a section are fixed.
 func pathSuffix(location []string) string {
 	var out string
 	for _, step := range location {
--- a/internal/config/sections.go
+++ b/internal/config/sections.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KnownSection reports whether the document has a section s.
+// KnownSection reports whether s is a section of the document.
 func KnownSection(s Section) bool { return slices.Contains(Sections, s) }
 
 // WithMembers returns a copy of d in which the named members of a section are
-// as in contents. Only those members are decoded, so that a small edit of a
+// those in contents. It decodes only these members, so that a small edit of a
 // large section is cheap.
 func (d Document) WithMembers(s Section, contents Contents, names []string) (Document, []Problem) {
 	var problems []Problem
@@ -92,7 +92,7 @@
 	return Problem{Path: path, Reason: err.Error()}
 }
 
-// Split encodes d as raw sections.
+// Split encodes d as one raw JSON object per section.
 func (d Document) Split() (map[Section]Contents, error) {
 	data, err := json.Marshal(d)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return SplitJSON(data)
 }
 
-// SplitJSON decodes a document into raw sections.
+// SplitJSON splits an encoded document into its raw sections.
 func SplitJSON(data []byte) (map[Section]Contents, error) {
 	var raw map[Section]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
--- a/internal/config/seed_test.go
+++ b/internal/config/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // defines the flag
 )
 
-// CI must give the same verdict every time. A longer run takes another seed
-// with -rapid.seed and more schedules with -rapid.checks.
+// The seed is fixed so that CI gives the same result in every run. Use
+// -rapid.seed for another seed and -rapid.checks for more schedules.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -7,25 +7,26 @@
 	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
-// Snapshot is one immutable state of the document, indexed for serving. Each
-// request uses exactly one snapshot.
+// Snapshot is one immutable state of the document, indexed for request
+// handling. Each request uses exactly one snapshot.
 type Snapshot struct {
 	// Revision is the log index at which this state was accepted.
 	Revision uint64
-	// Document is the state with defaults filled in. It must not be changed.
+	// Document is the document with defaults filled in. It must not be
+	// modified.
 	Document Document
 
-	byKey        map[keys.Hash]KeyOwner
-	byModel      map[string]string
+	ownerByKey   map[keys.Hash]KeyOwner
+	routeByModel map[string]string
 	servicePaths []servicePath
 	slots        int
 }
 
-// KeyOwner says which workspace a key belongs to.
+// KeyOwner identifies a key and the workspace that it belongs to.
 type KeyOwner struct {
-	// Workspace owns the key.
+	// Workspace is the name of the workspace.
 	Workspace string
-	// KeyID names the key.
+	// KeyID is the ID of the key.
 	KeyID string
 }
 
@@ -34,14 +35,14 @@
 	route  string
 }
 
-// NewSnapshot fills in defaults and indexes d. Keys with malformed hashes are
-// left out; Validate reports them.
+// NewSnapshot fills in the defaults of d and indexes it. It ignores keys with
+// malformed hashes, which Validate reports.
 func NewSnapshot(d Document, revision uint64) *Snapshot {
 	s := &Snapshot{
-		Revision: revision,
-		Document: d.WithDefaults(),
-		byKey:    make(map[keys.Hash]KeyOwner),
-		byModel:  make(map[string]string),
+		Revision:     revision,
+		Document:     d.WithDefaults(),
+		ownerByKey:   make(map[keys.Hash]KeyOwner),
+		routeByModel: make(map[string]string),
 	}
 	s.indexKeys()
 	s.indexRoutes()
@@ -51,33 +52,33 @@
 	return s
 }
 
-// Owner returns the workspace that the key with hash h belongs to.
+// Owner returns the owner of the key with hash h.
 func (s *Snapshot) Owner(h keys.Hash) (KeyOwner, bool) {
-	owner, ok := s.byKey[h]
+	owner, ok := s.ownerByKey[h]
 	return owner, ok
 }
 
-// ModelRoute returns the route that serves model.
+// ModelRoute returns the route that serves a model.
 func (s *Snapshot) ModelRoute(model string) (name string, route Route, ok bool) {
-	name, ok = s.byModel[model]
+	name, ok = s.routeByModel[model]
 	if !ok {
 		return "", Route{}, false
 	}
 	return name, s.Document.Routes[name], true
 }
 
-// ServiceRoute returns the service route with the longest prefix of path. A
-// prefix matches only whole path segments.
+// ServiceRoute returns the service route with the longest path prefix that
+// matches path. A prefix matches whole path segments only.
 func (s *Snapshot) ServiceRoute(path string) (name string, route Route, ok bool) {
 	for _, p := range s.servicePaths {
-		if matchesPath(p.prefix, path) {
+		if hasPathPrefix(p.prefix, path) {
 			return p.route, s.Document.Routes[p.route], true
 		}
 	}
 	return "", Route{}, false
 }
 
-// Slots returns the number of VM slots over all zones.
+// Slots returns the number of VM slots in all zones.
 func (s *Snapshot) Slots() int { return s.slots }
 
 func (s *Snapshot) indexKeys() {
@@ -87,7 +88,7 @@
 			if err != nil {
 				continue
 			}
-			s.byKey[h] = KeyOwner{Workspace: name, KeyID: k.ID}
+			s.ownerByKey[h] = KeyOwner{Workspace: name, KeyID: k.ID}
 		}
 	}
 }
@@ -95,7 +96,7 @@
 func (s *Snapshot) indexRoutes() {
 	for name, r := range s.Document.Routes {
 		if r.Kind == KindModel {
-			s.byModel[r.Model] = name
+			s.routeByModel[r.Model] = name
 			continue
 		}
 		s.servicePaths = append(s.servicePaths, servicePath{r.PathPrefix, name})
@@ -109,7 +110,7 @@
 	})
 }
 
-func matchesPath(prefix, path string) bool {
+func hasPathPrefix(prefix, path string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,19 +9,19 @@
 	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
-// Problem is one reason why a document is refused.
+// Problem is one validation error of a document.
 type Problem struct {
-	// Path is the JSON path of the value at fault.
+	// Path is the JSON path of the invalid value.
 	Path string `json:"path"`
-	// Reason says what is wrong with it.
+	// Reason says what is wrong with the value.
 	Reason string `json:"reason"`
 }
 
 // String returns the problem on one line.
 func (p Problem) String() string { return p.Path + ": " + p.Reason }
 
-// Validate returns every problem of d, sorted by path. The document is
-// accepted when there is none.
+// Validate returns every problem of d, sorted by path. A document without
+// problems is accepted.
 func (d Document) Validate() []Problem {
 	v := &validator{doc: d.WithDefaults()}
 	v.checkModels()
@@ -289,8 +289,8 @@
 	}
 }
 
-// sortedNames fixes the order in which duplicates are found, because every
-// voter must give the same answer to an edit.
+// sortedNames returns the names in a fixed order, in which duplicates are then
+// found: every voter must give the same answer to an edit.
 func sortedNames[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
