--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the static settings of one daemon: what a process
-// must know before it can join the others. Everything that may change while
-// traffic runs belongs to the service document in package config.
+// Package settings reads the static settings of one daemon: what a process must
+// know before it can join the cluster. Everything that may change while the
+// service handles traffic belongs to the service document in package config.
 package settings
 
 import (
@@ -18,63 +18,66 @@
 
 // Settings are the static settings of one VM.
 type Settings struct {
-	// VM is the name of this VM, unique over the service.
+	// VM is the name of this VM, unique in the service.
 	VM string `json:"vm"`
 	// Zone is the availability zone of this VM.
 	Zone string `json:"zone"`
 	// Region is the region of the zone.
 	Region string `json:"region"`
-	// Slot is the number of this VM's slot in its zone, from 0. Two VMs of a
-	// zone must not share a slot, because rate floors belong to slots.
+	// Slot is the number of this VM's slot in its zone, counted from 0. Two VMs
+	// of a zone must not have the same slot, because the rate floors are
+	// divided by slot.
 	Slot int `json:"slot"`
-	// CallerAddress is where callers connect, as IP:port.
+	// CallerAddress is the IP:port on which callers connect.
 	CallerAddress string `json:"caller_address"`
-	// TargetAddress is where targets announce themselves, as IP:port.
+	// TargetAddress is the IP:port on which targets announce themselves.
 	TargetAddress string `json:"target_address"`
-	// PeerAddress is where other VMs connect by TCP, as IP:port.
+	// PeerAddress is the IP:port on which other VMs connect by TCP.
 	PeerAddress string `json:"peer_address"`
-	// GossipAddress is the UDP address of membership, as IP:port.
+	// GossipAddress is the UDP IP:port for membership gossip.
 	GossipAddress string `json:"gossip_address"`
-	// AdminAddress is where operators' tools connect, as IP:port.
+	// AdminAddress is the IP:port on which operators' tools connect.
 	AdminAddress string `json:"admin_address"`
-	// Join lists gossip addresses of VMs to join.
+	// Join lists the gossip addresses of VMs through which this VM joins the
+	// cluster.
 	Join []string `json:"join,omitempty"`
-	// DataFolder is the folder for durable state; empty without a disk.
+	// DataFolder is the directory for durable state; empty on a VM without a
+	// disk.
 	DataFolder string `json:"data_folder,omitempty"`
-	// Voters lists the VMs that form the first voter set of the control log,
-	// by name, with their peer addresses. The same list stands in the
-	// settings of every VM.
+	// Voters maps the names of the initial voters of the control log to their
+	// peer addresses. It must be the same in the settings of every VM.
 	Voters map[string]string `json:"voters"`
-	// ClusterSecretFile holds the shared secret that authenticates gossip.
+	// ClusterSecretFile is the file with the shared secret that authenticates
+	// gossip.
 	ClusterSecretFile string `json:"cluster_secret_file,omitempty"`
-	// DocumentFile is a service document that starts a new service; it is
-	// proposed once, when the control log is empty.
+	// DocumentFile is the file with the initial service document of a new
+	// service. The document is proposed once, if the control log is empty.
 	DocumentFile string `json:"document_file,omitempty"`
-	// CallerTLS holds the certificate shown to callers; without it callers
-	// use plain HTTP.
+	// CallerTLS is the server certificate for callers. Without it, callers use
+	// plain HTTP.
 	CallerTLS *TLS `json:"caller_tls,omitempty"`
-	// PeerTLS holds the certificate for traffic between VMs; without it only
+	// PeerTLS is the certificate for traffic between VMs. Without it, only
 	// loopback addresses are allowed.
 	PeerTLS *TLS `json:"peer_tls,omitempty"`
 }
 
-// TLS names certificate files in PEM form.
+// TLS names the PEM files of a certificate.
 type TLS struct {
-	// CertFile is the certificate chain.
+	// CertFile is the file with the certificate chain.
 	CertFile string `json:"cert_file"`
-	// KeyFile is the private key.
+	// KeyFile is the file with the private key.
 	KeyFile string `json:"key_file"`
-	// CAFile is the certificate authority of the peers.
+	// CAFile is the file with the certificate authority of the peers.
 	CAFile string `json:"ca_file,omitempty"`
 }
 
-// Problem is one reason why settings are refused.
+// Problem is one validation error of the settings.
 type Problem struct {
-	// File is the settings file.
+	// File is the name of the settings file.
 	File string
-	// Path is the JSON path of the value at fault.
+	// Path is the JSON path of the invalid value.
 	Path string
-	// Reason says what is wrong with it.
+	// Reason says what is wrong with the value.
 	Reason string
 }
 
@@ -83,8 +86,8 @@
 	return fmt.Sprintf("%s: %s: %s", p.File, p.Path, p.Reason)
 }
 
-// Load reads and checks the settings in file. The error joins every problem
-// found, not only the first.
+// Load reads and validates the settings in file. The error joins every problem
+// found.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -98,7 +101,7 @@
 	return s, nil
 }
 
-// Parse decodes and checks settings; name stands for the file in problems.
+// Parse decodes and validates settings. name is the file name in the problems.
 func Parse(name string, data []byte) (Settings, error) {
 	var s Settings
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -112,7 +115,7 @@
 	return s, errors.Join(s.check(name)...)
 }
 
-// Voter reports whether this VM is in the first voter set.
+// Voter reports whether this VM is one of the initial voters.
 func (s *Settings) Voter() bool {
 	_, ok := s.Voters[s.VM]
 	return ok
@@ -131,8 +134,8 @@
 	return problems
 }
 
-// unknownFields names every top-level field that Settings does not have; the
-// decoder itself stops at the first.
+// unknownFields reports every unknown top-level field; the JSON decoder stops
+// at the first.
 func unknownFields(name string, data []byte) []error {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
@@ -154,19 +157,19 @@
 
 func (s *Settings) check(file string) []error {
 	c := &checker{file: file}
-	c.required("$.vm", s.VM)
-	c.required("$.zone", s.Zone)
-	c.required("$.region", s.Region)
+	c.requireNonEmpty("$.vm", s.VM)
+	c.requireNonEmpty("$.zone", s.Zone)
+	c.requireNonEmpty("$.region", s.Region)
 	if s.Slot < 0 {
-		c.add("$.slot", "must not be negative")
+		c.addProblem("$.slot", "must not be negative")
 	}
-	c.address("$.caller_address", s.CallerAddress)
-	c.address("$.target_address", s.TargetAddress)
-	c.address("$.peer_address", s.PeerAddress)
-	c.address("$.gossip_address", s.GossipAddress)
-	c.address("$.admin_address", s.AdminAddress)
+	c.requireAddress("$.caller_address", s.CallerAddress)
+	c.requireAddress("$.target_address", s.TargetAddress)
+	c.requireAddress("$.peer_address", s.PeerAddress)
+	c.requireAddress("$.gossip_address", s.GossipAddress)
+	c.requireAddress("$.admin_address", s.AdminAddress)
 	for i, a := range s.Join {
-		c.address(fmt.Sprintf("$.join[%d]", i), a)
+		c.requireAddress(fmt.Sprintf("$.join[%d]", i), a)
 	}
 	s.checkVoters(c)
 	s.checkTLS(c)
@@ -175,47 +178,48 @@
 
 func (s *Settings) checkVoters(c *checker) {
 	if n := len(s.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
-		c.add("$.voters", fmt.Sprintf("has %d VMs, want 1, 3, 5 or 7", n))
+		c.addProblem("$.voters", fmt.Sprintf("has %d VMs, want 1, 3, 5 or 7", n))
 	}
 	for vm, addr := range s.Voters {
-		c.address("$.voters."+vm, addr)
+		c.requireAddress("$.voters."+vm, addr)
 	}
 	if s.Voter() && s.DataFolder == "" {
-		c.add("$.data_folder", "is required because this VM is a voter")
+		c.addProblem("$.data_folder", "is required because this VM is a voter")
 	}
 	if addr, ok := s.Voters[s.VM]; ok && addr != s.PeerAddress {
-		c.add("$.voters."+s.VM, fmt.Sprintf("is %s but peer_address is %s", addr, s.PeerAddress))
+		c.addProblem("$.voters."+s.VM, fmt.Sprintf("is %s but peer_address is %s", addr, s.PeerAddress))
 	}
 }
 
 func (s *Settings) checkTLS(c *checker) {
 	if s.CallerTLS != nil {
-		c.required("$.caller_tls.cert_file", s.CallerTLS.CertFile)
-		c.required("$.caller_tls.key_file", s.CallerTLS.KeyFile)
+		c.requireNonEmpty("$.caller_tls.cert_file", s.CallerTLS.CertFile)
+		c.requireNonEmpty("$.caller_tls.key_file", s.CallerTLS.KeyFile)
 	}
 	if s.PeerTLS == nil {
-		if !loopback(s.PeerAddress) {
-			c.add("$.peer_tls", "is required because peer_address is not a loopback address")
+		if !isLoopback(s.PeerAddress) {
+			c.addProblem("$.peer_tls", "is required because peer_address is not a loopback address")
 		}
-		if !loopback(s.GossipAddress) && s.ClusterSecretFile == "" {
-			c.add("$.cluster_secret_file", "is required because gossip_address is not a loopback address")
+		if !isLoopback(s.GossipAddress) && s.ClusterSecretFile == "" {
+			c.addProblem("$.cluster_secret_file", "is required because gossip_address is not a loopback address")
 		}
 		return
 	}
-	c.required("$.peer_tls.cert_file", s.PeerTLS.CertFile)
-	c.required("$.peer_tls.key_file", s.PeerTLS.KeyFile)
-	c.required("$.peer_tls.ca_file", s.PeerTLS.CAFile)
-	c.required("$.cluster_secret_file", s.ClusterSecretFile)
+	c.requireNonEmpty("$.peer_tls.cert_file", s.PeerTLS.CertFile)
+	c.requireNonEmpty("$.peer_tls.key_file", s.PeerTLS.KeyFile)
+	c.requireNonEmpty("$.peer_tls.ca_file", s.PeerTLS.CAFile)
+	c.requireNonEmpty("$.cluster_secret_file", s.ClusterSecretFile)
 }
 
-// loopback reports whether an address stays on this machine. A malformed one
-// is reported elsewhere.
-func loopback(address string) bool {
+// isLoopback reports whether an address is a loopback address. It returns true
+// for a malformed address, which requireAddress reports.
+func isLoopback(address string) bool {
 	addr, err := netip.ParseAddrPort(address)
 	return err != nil || addr.Addr().IsLoopback()
 }
 
-// resolvePaths makes file names relative to the folder of the settings file.
+// resolvePaths resolves relative file names against the directory of the
+// settings file.
 func (s *Settings) resolvePaths(folder string) {
 	paths := []*string{&s.DataFolder, &s.ClusterSecretFile, &s.DocumentFile}
 	for _, t := range []*TLS{s.CallerTLS, s.PeerTLS} {
@@ -235,22 +239,22 @@
 	problems []error
 }
 
-func (c *checker) add(path, reason string) {
+func (c *checker) addProblem(path, reason string) {
 	c.problems = append(c.problems, Problem{c.file, path, reason})
 }
 
-func (c *checker) required(path, value string) {
+func (c *checker) requireNonEmpty(path, value string) {
 	if value == "" {
-		c.add(path, "is required")
+		c.addProblem(path, "is required")
 	}
 }
 
-func (c *checker) address(path, value string) {
+func (c *checker) requireAddress(path, value string) {
 	if value == "" {
-		c.add(path, "is required")
+		c.addProblem(path, "is required")
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.add(path, fmt.Sprintf("%q is not an IP address and port", value))
+		c.addProblem(path, fmt.Sprintf("%q is not an IP address and port", value))
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,8 +13,8 @@
 	"voters": {"vm-1": "127.0.0.1:7003"}
 }`
 
-// Guards against settings that are refused for no reason, and against faults
-// that are accepted or reported one at a time.
+// Guards against valid settings that are rejected, and against invalid settings
+// that are accepted or whose problems are reported one at a time.
 func TestEveryProblemIsReported(t *testing.T) {
 	for _, c := range []struct {
 		desc, old, new string
