--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Guards the burn rates against wrong windows and against VMs that are
-// averaged instead of added.
+// Guards against burn rates over wrong windows, and against VMs whose rates are
+// averaged instead of their counters being added.
 func TestBurnRatesAreMergedOverVMs(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	now := start.Add(2 * time.Hour)
@@ -50,20 +50,20 @@
 	yards := row(report, "grade-fast", "yards")
 	for i, want := range []float64{10.0 / 400 / 0.05, 0.5, 0.5, 110.0 / 500 / 0.05, 110.0 / 500 / 0.05} {
 		if got := yards.Windows[i].Burn; math.Abs(got-want) > 1e-9 {
-			t.Errorf("burn over %v = %v, want %v", Windows[i], got, want)
+			t.Errorf("burn rate over %v is %v, want %v", Windows[i], got, want)
 		}
 	}
 	if !yards.Worst || yards.Cause != "prefill" || yards.Alert != "ticket" {
-		t.Errorf("worst %v, cause %q, alert %q", yards.Worst, yards.Cause, yards.Alert)
+		t.Errorf("yards: worst %v, cause %q, alert %q; want true, \"prefill\" and \"ticket\"", yards.Worst, yards.Cause, yards.Alert)
 	}
 	if lorries := row(report, "grade-fast", "lorries"); lorries.BudgetLeft != 1 || lorries.Worst {
-		t.Errorf("lorries: budget left %v, worst %v", lorries.BudgetLeft, lorries.Worst)
+		t.Errorf("lorries: budget left %v, worst %v; want 1 and false", lorries.BudgetLeft, lorries.Worst)
 	}
 }
 
-// Guards against refusals by rate that burn the budget of the service, and
-// against refusals by overload that do not.
-func TestOnlyFaultsOfTheServiceBurnTheBudget(t *testing.T) {
+// Guards against rate-limit refusals that consume the error budget, and against
+// overload refusals that do not.
+func TestOnlyServiceFaultsConsumeErrorBudget(t *testing.T) {
 	for _, c := range []struct {
 		desc   string
 		sample serving.Sample
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against unbounded memory with many workspaces.
+// Guards against memory that grows without limit with the number of workspaces.
 func TestSeriesAreBounded(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	tracker := NewTracker("a", now)
@@ -96,11 +96,11 @@
 		observe(tracker, now, fmt.Sprint("w", i), 1, 0)
 	}
 	if n := len(tracker.Summary(now).GetSeries()); n > maxSeries+len(objectives) {
-		t.Fatalf("%d series, the bound is %d", n, maxSeries)
+		t.Fatalf("%d series, maxSeries is %d", n, maxSeries)
 	}
 }
 
-// Guards against counters that are lost or counted twice over a restart.
+// Guards against counters that a restart loses or counts twice.
 func TestCountersSurviveARestart(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	before := NewTracker("a", start)
@@ -121,8 +121,8 @@
 	}
 }
 
-// Guards against memory that grows with the minutes of the longest window, and
-// against events that are lost when minutes are merged.
+// Guards against memory that grows with every minute of the longest window, and
+// against events that are lost when the buckets of single minutes are merged.
 func TestOldMinutesAreMerged(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	tracker := NewTracker("a", start)
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -11,18 +11,21 @@
 	burnv1 "github.com/cuminwing/cuminwing/proto/burn/v1"
 )
 
-// Windows are the spans over which burn rates are computed.
+// Windows are the time spans over which burn rates are computed. alertLevel
+// refers to them by index.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour, retention}
 
-// Burn rates that raise an alert if both windows exceed them. A rate of 14.4
-// uses 2% of a 30-day budget in an hour, a rate of 6 uses 5% in six hours.
+// Burn rates above which an alert is raised. A page and a ticket each need two
+// windows above their rate; the slow ticket needs only the longest window. A
+// rate of 14.4 uses 2% of a 30-day budget in an hour, a rate of 6 uses 5% in
+// six hours.
 const (
-	pageBurn   = 14.4
-	ticketBurn = 6
-	slowBurn   = 1
+	pageBurnRate       = 14.4
+	ticketBurnRate     = 6
+	slowTicketBurnRate = 1
 )
 
-const hourMinutes = 60
+const minutesPerHour = 60
 
 // Report merges the counters of several VMs and evaluates the objectives.
 func Report(now time.Time, objectives map[string]config.Objective, summaries []*burnv1.Summary) *burnv1.ReportResponse {
@@ -33,7 +36,7 @@
 		if !ok {
 			continue
 		}
-		out.Rows = append(out.Rows, evaluate(now, key, o, buckets))
+		out.Rows = append(out.Rows, evaluateObjective(now, key, o, buckets))
 	}
 	slices.SortFunc(out.Rows, func(a, b *burnv1.Row) int {
 		if c := strings.Compare(a.Objective, b.Objective); c != 0 {
@@ -61,7 +64,7 @@
 	return merged
 }
 
-func evaluate(now time.Time, key seriesKey, o config.Objective, buckets []*burnv1.Bucket) *burnv1.Row {
+func evaluateObjective(now time.Time, key seriesKey, o config.Objective, buckets []*burnv1.Bucket) *burnv1.Row {
 	row := &burnv1.Row{
 		Objective: key.objective,
 		Route:     o.Route,
@@ -70,16 +73,16 @@
 		Target:    o.Target,
 	}
 	for _, w := range Windows {
-		row.Windows = append(row.Windows, window(now, w, o.Target, buckets))
+		row.Windows = append(row.Windows, evaluateWindow(now, w, o.Target, buckets))
 	}
 	row.BudgetLeft = 1 - row.Windows[len(row.Windows)-1].Burn
-	row.Alert = alert(row.Windows)
-	row.Cause = mainCause(now, buckets)
-	row.LastHour = lastHour(now, buckets)
+	row.Alert = alertLevel(row.Windows)
+	row.Cause = mostFrequentCause(now, buckets)
+	row.LastHour = badFractionsLastHour(now, buckets)
 	return row
 }
 
-func window(now time.Time, span time.Duration, target float64, buckets []*burnv1.Bucket) *burnv1.Window {
+func evaluateWindow(now time.Time, span time.Duration, target float64, buckets []*burnv1.Bucket) *burnv1.Window {
 	w := &burnv1.Window{Seconds: int64(span.Seconds())}
 	oldest := minuteOf(now.Add(-span))
 	for _, b := range buckets {
@@ -94,20 +97,20 @@
 	return w
 }
 
-func alert(w []*burnv1.Window) string {
-	burn := func(i int) float64 { return w[i].Burn }
+func alertLevel(w []*burnv1.Window) string {
+	burnRate := func(i int) float64 { return w[i].Burn }
 	switch {
-	case burn(0) > pageBurn && burn(2) > pageBurn:
+	case burnRate(0) > pageBurnRate && burnRate(2) > pageBurnRate:
 		return "page"
-	case burn(1) > ticketBurn && burn(3) > ticketBurn:
+	case burnRate(1) > ticketBurnRate && burnRate(3) > ticketBurnRate:
 		return "ticket"
-	case burn(4) > slowBurn:
+	case burnRate(4) > slowTicketBurnRate:
 		return "ticket"
 	}
 	return ""
 }
 
-func mainCause(now time.Time, buckets []*burnv1.Bucket) string {
+func mostFrequentCause(now time.Time, buckets []*burnv1.Bucket) string {
 	counts := make(map[string]uint64)
 	oldest := minuteOf(now.Add(-retention))
 	for _, b := range buckets {
@@ -118,25 +121,25 @@
 			counts[cause] += n
 		}
 	}
-	best := ""
+	mostFrequent := ""
 	for cause, n := range counts {
-		if best == "" || n > counts[best] || (n == counts[best] && cause < best) {
-			best = cause
+		if mostFrequent == "" || n > counts[mostFrequent] || (n == counts[mostFrequent] && cause < mostFrequent) {
+			mostFrequent = cause
 		}
 	}
-	return best
+	return mostFrequent
 }
 
-func lastHour(now time.Time, buckets []*burnv1.Bucket) []float64 {
-	var good, bad [hourMinutes]uint64
-	first := minuteOf(now) - hourMinutes + 1
+func badFractionsLastHour(now time.Time, buckets []*burnv1.Bucket) []float64 {
+	var good, bad [minutesPerHour]uint64
+	first := minuteOf(now) - minutesPerHour + 1
 	for _, b := range buckets {
-		if i := b.GetMinute() - first; i >= 0 && i < hourMinutes {
+		if i := b.GetMinute() - first; i >= 0 && i < minutesPerHour {
 			good[i] += b.GetGood()
 			bad[i] += b.GetBad()
 		}
 	}
-	out := make([]float64, hourMinutes)
+	out := make([]float64, minutesPerHour)
 	for i := range out {
 		out[i] = -1
 		if total := good[i] + bad[i]; total > 0 {
@@ -146,12 +149,13 @@
 	return out
 }
 
-// markWorst marks the workspace with the highest 3-day burn of each objective.
+// markWorst marks the workspace with the highest 3-day burn rate of each
+// objective.
 func markWorst(rows []*burnv1.Row) {
 	worst := make(map[string]*burnv1.Row)
 	for _, r := range rows {
-		burn := r.Windows[len(r.Windows)-1].Burn
-		if w, ok := worst[r.Objective]; burn > 0 && (!ok || burn > w.Windows[len(w.Windows)-1].Burn) {
+		burnRate := r.Windows[len(r.Windows)-1].Burn
+		if w, ok := worst[r.Objective]; burnRate > 0 && (!ok || burnRate > w.Windows[len(w.Windows)-1].Burn) {
 			worst[r.Objective] = r
 		}
 	}
@@ -169,8 +173,8 @@
 				continue
 			}
 			key := latencyKey{l.GetRoute(), l.GetKind()}
-			if known, ok := merged[key]; ok {
-				known.Merge(h)
+			if existing, ok := merged[key]; ok {
+				existing.Merge(h)
 			} else {
 				merged[key] = h
 			}
@@ -182,9 +186,9 @@
 			Route: key.route,
 			Kind:  key.kind,
 			Count: uint64(h.TotalCount()),
-			P50Ms: milliseconds(h, 50),
-			P95Ms: milliseconds(h, 95),
-			P99Ms: milliseconds(h, 99),
+			P50Ms: percentileMS(h, 50),
+			P95Ms: percentileMS(h, 95),
+			P99Ms: percentileMS(h, 99),
 		})
 	}
 	slices.SortFunc(out, func(a, b *burnv1.Percentiles) int {
@@ -193,6 +197,6 @@
 	return out
 }
 
-func milliseconds(h *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(h.ValueAtQuantile(quantile)) / 1000
+func percentileMS(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
--- a/internal/burn/tracker.go
+++ b/internal/burn/tracker.go
@@ -1,5 +1,5 @@
-// Package burn counts how well the service meets its objectives and how fast
-// it uses up the error budget. It does no I/O.
+// Package burn counts good and bad events against the service-level objectives
+// and computes how fast the error budget is used up. It does no I/O.
 package burn
 
 import (
@@ -13,7 +13,7 @@
 	burnv1 "github.com/cuminwing/cuminwing/proto/burn/v1"
 )
 
-// Kinds of objective.
+// Values of config.Objective.Kind.
 const (
 	KindFirstToken      = "first_token"
 	KindTokenGap        = "token_gap"
@@ -22,18 +22,19 @@
 )
 
 const (
-	// retention is the longest window.
+	// retention is how long events are kept: the span of the longest window.
 	retention = 3 * 24 * time.Hour
-	// fineRetention is how long single minutes are kept; older events are
-	// merged into slots of coarseMinutes.
-	fineRetention = 6 * time.Hour
-	coarseMinutes = 30
-	// maxSeries bounds the memory to about 40 MB: a busy series has up to 500
-	// buckets. What does not fit is counted under otherWorkspace.
+	// fineRetention is how long one-minute buckets are kept. Older events are
+	// merged into buckets of coarseBucketMinutes.
+	fineRetention       = 6 * time.Hour
+	coarseBucketMinutes = 30
+	// maxSeries limits memory to about 40 MB: a busy series has up to 500
+	// buckets. Events of further series are counted under otherWorkspace.
 	maxSeries = 1024
-	// otherWorkspace collects what does not fit.
+	// otherWorkspace stands for the workspaces beyond maxSeries.
 	otherWorkspace = "(other)"
-	// Histograms reach from 1 us to 10 min with two digits, about 30 KB each.
+	// Histograms cover 1 us to 10 min with two significant digits and take
+	// about 30 KB each.
 	histogramMin    = 1
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 2
@@ -46,25 +47,25 @@
 
 // Tracker holds the counters of one VM. It is safe for concurrent use.
 type Tracker struct {
-	mu        sync.Mutex
-	vm        string
-	since     time.Time
-	series    map[seriesKey]*series
-	latencies map[latencyKey]*hdrhistogram.Histogram
+	mu           sync.Mutex
+	vm           string
+	coveredSince time.Time
+	series       map[seriesKey]*series
+	latencies    map[latencyKey]*hdrhistogram.Histogram
 }
 
-// series has one bucket per minute in which something happened, oldest first.
+// series holds one bucket per minute with events, oldest first.
 type series struct {
 	buckets []*burnv1.Bucket
 }
 
-// NewTracker returns the counters of a VM that starts to observe at now.
+// NewTracker returns the empty counters of a VM whose coverage starts at now.
 func NewTracker(vm string, now time.Time) *Tracker {
 	return &Tracker{
-		vm:        vm,
-		since:     now,
-		series:    make(map[seriesKey]*series),
-		latencies: make(map[latencyKey]*hdrhistogram.Histogram),
+		vm:           vm,
+		coveredSince: now,
+		series:       make(map[seriesKey]*series),
+		latencies:    make(map[latencyKey]*hdrhistogram.Histogram),
 	}
 }
 
@@ -78,18 +79,18 @@
 		if o.Route != s.Route || (o.Workspace != "" && o.Workspace != s.Workspace) {
 			continue
 		}
-		good, counts := judge(o, s)
+		good, counts := classify(o, s)
 		if !counts {
 			continue
 		}
-		t.count(now, seriesKey{name, s.Workspace}, good, causeOf(s))
+		t.count(now, seriesKey{name, s.Workspace}, good, badEventCause(s))
 	}
 }
 
-// judge says whether a request counts for an objective and whether it was
-// good.
-func judge(o config.Objective, s serving.Sample) (good, counts bool) {
-	if callerFault(s.Refusal) {
+// classify reports whether a request counts for an objective and whether it was
+// a good event.
+func classify(o config.Objective, s serving.Sample) (good, counts bool) {
+	if isCallerFault(s.Refusal) {
 		return false, false
 	}
 	threshold := time.Duration(o.ThresholdMS) * time.Millisecond
@@ -106,9 +107,10 @@
 	return false, false
 }
 
-// callerFault lists refusals that say nothing about the service: the caller
-// exceeded its rate, went away or sent a request that cannot run.
-func callerFault(code string) bool {
+// isCallerFault reports whether a refusal code says nothing about the service:
+// the caller exceeded its rate, disconnected, or sent a request that cannot
+// run.
+func isCallerFault(code string) bool {
 	switch code {
 	case "rate_limit_exceeded", "request_exceeds_burst", "caller_gone", "bad_request",
 		"request_refused", "key_withdrawn", "idempotency_mismatch":
@@ -117,7 +119,7 @@
 	return false
 }
 
-func causeOf(s serving.Sample) string {
+func badEventCause(s serving.Sample) string {
 	if s.Refusal != "" && s.Attempts == 0 {
 		return causeRefusal
 	}
@@ -136,7 +138,7 @@
 			t.series[key] = s
 		}
 	}
-	b := s.bucket(now)
+	b := s.bucketAt(now)
 	if good {
 		b.Good++
 		return
@@ -148,33 +150,34 @@
 	b.Causes[cause]++
 }
 
-func (s *series) bucket(now time.Time) *burnv1.Bucket {
+func (s *series) bucketAt(now time.Time) *burnv1.Bucket {
 	minute := minuteOf(now)
 	if n := len(s.buckets); n > 0 && s.buckets[n-1].Minute >= minute {
 		return s.buckets[n-1]
 	}
-	s.drop(now)
+	s.compact(now)
 	b := &burnv1.Bucket{Minute: minute}
 	s.buckets = append(s.buckets, b)
 	return b
 }
 
-// drop removes the buckets that no window reaches any more and merges those
-// that only the longest window reaches.
-func (s *series) drop(now time.Time) {
+// compact removes the buckets that are older than every window and merges those
+// that only the longest window covers.
+func (s *series) compact(now time.Time) {
 	oldest := minuteOf(now.Add(-retention))
-	fine := minuteOf(now.Add(-fineRetention))
+	oldestFine := minuteOf(now.Add(-fineRetention))
 	kept := s.buckets[:0]
 	for _, b := range s.buckets {
 		if b.Minute < oldest {
 			continue
 		}
-		if b.Minute < fine {
-			// The end of the slot, so that no event leaves a window early.
-			b.Minute = b.Minute/coarseMinutes*coarseMinutes + coarseMinutes - 1
+		if b.Minute < oldestFine {
+			// Uses the last minute of the merged bucket, so that no event
+			// leaves a window too early.
+			b.Minute = b.Minute/coarseBucketMinutes*coarseBucketMinutes + coarseBucketMinutes - 1
 		}
 		if n := len(kept); n > 0 && kept[n-1].Minute >= b.Minute {
-			add(kept[n-1], b)
+			mergeBucket(kept[n-1], b)
 			continue
 		}
 		kept = append(kept, b)
@@ -183,7 +186,7 @@
 	s.buckets = kept
 }
 
-func add(to, from *burnv1.Bucket) {
+func mergeBucket(to, from *burnv1.Bucket) {
 	to.Good += from.Good
 	to.Bad += from.Bad
 	for cause, n := range from.Causes {
@@ -213,10 +216,10 @@
 func (t *Tracker) Summary(now time.Time) *burnv1.Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := &burnv1.Summary{Vm: t.vm, Minute: minuteOf(now) * 60, CoveredSeconds: int64(now.Sub(t.since).Seconds())}
+	out := &burnv1.Summary{Vm: t.vm, Minute: minuteOf(now) * 60, CoveredSeconds: int64(now.Sub(t.coveredSince).Seconds())}
 	for key, s := range t.series {
-		s.drop(now)
-		out.Series = append(out.Series, s.copy(key))
+		s.compact(now)
+		out.Series = append(out.Series, s.toProto(key))
 	}
 	for key, h := range t.latencies {
 		data, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
@@ -228,7 +231,7 @@
 	return out
 }
 
-func (s *series) copy(key seriesKey) *burnv1.Series {
+func (s *series) toProto(key seriesKey) *burnv1.Series {
 	out := &burnv1.Series{Objective: key.objective, Workspace: key.workspace}
 	for _, b := range s.buckets {
 		c := &burnv1.Bucket{Minute: b.Minute, Good: b.Good, Bad: b.Bad}
@@ -243,12 +246,12 @@
 	return out
 }
 
-// Restore continues counters that an earlier process of this VM stored at
-// stored. The time in between counts as not covered.
+// Restore continues from the counters in s, which an earlier process of this VM
+// stored. The time between the two processes counts as not covered.
 func (t *Tracker) Restore(s *burnv1.Summary) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.since = t.since.Add(-time.Duration(s.GetCoveredSeconds()) * time.Second)
+	t.coveredSince = t.coveredSince.Add(-time.Duration(s.GetCoveredSeconds()) * time.Second)
 	for _, stored := range s.GetSeries() {
 		t.series[seriesKey{stored.GetObjective(), stored.GetWorkspace()}] = &series{buckets: stored.GetBuckets()}
 	}
