--- a/internal/enginemodel/deployments.go
+++ b/internal/enginemodel/deployments.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Deployments returns the groups of the two deployments: a large and a small
-// group of engines each, with cold starts, lost events and shifts of the hot
-// set.
+// Deployments returns the engine groups of the two modelled deployments: the
+// large group of each, and a small group. All of them have cold starts, lost
+// events and shifts of the hot set.
 func Deployments(seed uint64) []Config {
 	large := Config{
 		Seed: seed, VMs: 9, Slots: 32, CacheBlocks: 60, BlockTokens: 1000,
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -1,6 +1,6 @@
-// Package enginemodel is a small deterministic queue model of engines, with
-// which policies of routing are compared. It is made for benchmarks: one group
-// of engines of one model, one region, virtual time.
+// Package enginemodel is a small deterministic queueing model of engines for
+// benchmarks that compare routing policies. It models one group of engines with
+// one model in one region, in virtual time.
 package enginemodel
 
 import (
@@ -12,39 +12,40 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// engine has a number of batch slots, prefills one request at a time and keeps
-// blocks in a cache of limited size.
+// engine has a fixed number of batch slots, prefills one request at a time and
+// caches a limited number of blocks.
 type engine struct {
-	sim         *simulation
-	id          string
-	index       int
-	zone        string
-	incarnation uint64
-	down        bool
-	running     int
-	waiting     []*request
-	prefills    []*request
-	prefilled   time.Duration
-	cache       blockCache
-	// pending counts the queued requests that will leave a block behind.
-	pending  map[prefix.Hash]int
-	sequence uint64
-	events   uint64
+	sim          *simulation
+	id           string
+	index        int
+	zone         string
+	incarnation  uint64
+	down         bool
+	running      int
+	waiting      []*request
+	prefillQueue []*request
+	prefillEnd   time.Duration
+	cache        blockCache
+	// pendingBlocks counts, for each block, the queued requests that will store
+	// it.
+	pendingBlocks        map[prefix.Hash]int
+	announcementSequence uint64
+	eventSequence        uint64
 }
 
 func newEngine(s *simulation, index int) *engine {
 	zones := [...]string{"a", "b"}
 	e := &engine{sim: s, index: index, id: engineID(index), zone: zones[index%len(zones)]}
-	e.start()
+	e.reset()
 	return e
 }
 
-func (e *engine) start() {
+func (e *engine) reset() {
 	e.incarnation++
-	e.events = 1
-	e.running, e.waiting, e.prefills = 0, nil, nil
+	e.eventSequence = 1
+	e.running, e.waiting, e.prefillQueue = 0, nil, nil
 	e.cache = newBlockCache(e.sim.config.CacheBlocks)
-	e.pending = make(map[prefix.Hash]int)
+	e.pendingBlocks = make(map[prefix.Hash]int)
 }
 
 func (e *engine) ref() target.Ref { return target.Ref{ID: e.id, Incarnation: e.incarnation} }
@@ -52,9 +53,9 @@
 // accept queues a request.
 func (e *engine) accept(r *request) {
 	for _, h := range r.chain {
-		e.pending[h]++
+		e.pendingBlocks[h]++
 	}
-	r.planned = r.tokens - e.heldSoon(r.chain)*e.sim.config.BlockTokens
+	r.plannedPrefillTokens = r.promptTokens - e.expectedHeldBlocks(r.chain)*e.sim.config.BlockTokens
 	e.waiting = append(e.waiting, r)
 	e.admit()
 }
@@ -65,99 +66,104 @@
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.running++
-		e.prefills = append(e.prefills, r)
-		if len(e.prefills) == 1 {
-			e.prefill()
+		e.prefillQueue = append(e.prefillQueue, r)
+		if len(e.prefillQueue) == 1 {
+			e.startPrefill()
 		}
 	}
 }
 
-// prefill computes the missing tokens of the first request in the queue.
-func (e *engine) prefill() {
-	r := e.prefills[0]
-	r.cached = min(e.cache.match(r.chain)*e.sim.config.BlockTokens, r.tokens)
-	took := e.sim.prefillTime(r.tokens - r.cached)
-	e.prefilled = e.sim.now + took
+// startPrefill computes the uncached tokens of the first request in the prefill
+// queue.
+func (e *engine) startPrefill() {
+	r := e.prefillQueue[0]
+	r.cachedTokens = min(e.cache.matchLength(r.chain)*e.sim.config.BlockTokens, r.promptTokens)
+	took := e.sim.prefillTime(r.promptTokens - r.cachedTokens)
+	e.prefillEnd = e.sim.now + took
 	incarnation := e.incarnation
-	e.sim.after(took, func() {
+	e.sim.scheduleAfter(took, func() {
 		if e.incarnation == incarnation && !e.down {
-			e.firstToken(r)
+			e.completePrefill(r)
 		}
 	})
 }
 
-func (e *engine) firstToken(r *request) {
-	e.prefills = e.prefills[1:]
+func (e *engine) completePrefill(r *request) {
+	e.prefillQueue = e.prefillQueue[1:]
 	for _, h := range r.chain {
-		if e.pending[h]--; e.pending[h] == 0 {
-			delete(e.pending, h)
+		if e.pendingBlocks[h]--; e.pendingBlocks[h] == 0 {
+			delete(e.pendingBlocks, h)
 		}
 	}
 	added, evicted, age := e.cache.store(r.chain, e.sim.now)
-	e.publish(prefix.Stored, added, 0)
-	e.sim.result.evicted(len(evicted), age)
-	e.publish(prefix.Evicted, evicted, age)
-	e.sim.first(r, e)
+	e.publishEvent(prefix.Stored, added, 0)
+	e.sim.result.recordEvictions(len(evicted), age)
+	e.publishEvent(prefix.Evicted, evicted, age)
+	e.sim.recordFirstToken(r, e)
 	incarnation := e.incarnation
-	e.sim.after(time.Duration(r.output)*e.sim.config.TokenInterval, func() {
+	e.sim.scheduleAfter(time.Duration(r.outputTokens)*e.sim.config.TokenInterval, func() {
 		if e.incarnation == incarnation && !e.down {
 			e.running--
-			e.sim.finished(r)
+			e.sim.completeRequest(r)
 			e.admit()
 		}
 	})
-	if len(e.prefills) > 0 {
-		e.prefill()
+	if len(e.prefillQueue) > 0 {
+		e.startPrefill()
 	}
 }
 
-func (e *engine) publish(kind prefix.EventKind, blocks []prefix.Hash, age time.Duration) {
+func (e *engine) publishEvent(kind prefix.EventKind, blocks []prefix.Hash, age time.Duration) {
 	if len(blocks) == 0 {
 		return
 	}
-	e.events++
-	e.sim.cacheEvent(e, prefix.Event{Sequence: e.events, Kind: kind, Root: blocks[0], Blocks: blocks, AgeMS: age.Milliseconds()})
+	e.eventSequence++
+	e.sim.deliverCacheEvent(e, prefix.Event{Sequence: e.eventSequence, Kind: kind, Root: blocks[0], Blocks: blocks, AgeMS: age.Milliseconds()})
 }
 
-// crash drops all work; the cache of the next incarnation is empty.
+// crash drops all requests. The next incarnation starts with an empty cache.
 func (e *engine) crash() {
-	lost := slices.Concat(e.waiting, e.prefills)
+	lost := slices.Concat(e.waiting, e.prefillQueue)
 	e.down = true
-	e.start()
-	e.sim.after(e.sim.config.Restart, func() { e.down = false })
+	e.reset()
+	e.sim.scheduleAfter(e.sim.config.Restart, func() { e.down = false })
 	for _, r := range lost {
-		e.sim.failed(r, e)
+		e.sim.redispatch(r, e)
 	}
 }
 
-// wait is the prefill work ahead of a new request.
-func (e *engine) wait() time.Duration {
+// prefillBacklog returns how long the prefill work ahead of a new request
+// takes.
+func (e *engine) prefillBacklog() time.Duration {
 	tokens := 0
-	for i, r := range e.prefills {
+	for i, r := range e.prefillQueue {
 		if i > 0 {
-			tokens += r.planned
+			tokens += r.plannedPrefillTokens
 		}
 	}
 	for _, r := range e.waiting {
-		tokens += r.planned
+		tokens += r.plannedPrefillTokens
 	}
-	return max(0, e.prefilled-e.sim.now) + e.sim.prefillTime(tokens)
+	return max(0, e.prefillEnd-e.sim.now) + e.sim.prefillTime(tokens)
 }
 
-// heldSoon is the number of leading blocks held when the queue is done.
-func (e *engine) heldSoon(chain []prefix.Hash) int {
+// expectedHeldBlocks returns how many leading blocks the cache will hold once
+// the queued requests are done, for a request that pendingBlocks already
+// counts.
+func (e *engine) expectedHeldBlocks(chain []prefix.Hash) int {
 	for i, h := range chain {
-		if !e.cache.has(h) && e.pending[h] <= 1 {
+		if !e.cache.has(h) && e.pendingBlocks[h] <= 1 {
 			return i
 		}
 	}
 	return len(chain)
 }
 
-// heldForNew is heldSoon for a request that is not queued yet.
-func (e *engine) heldForNew(chain []prefix.Hash) int {
+// expectedHeldBlocksForNew is expectedHeldBlocks for a request that is not
+// queued yet.
+func (e *engine) expectedHeldBlocksForNew(chain []prefix.Hash) int {
 	for i, h := range chain {
-		if !e.cache.has(h) && e.pending[h] == 0 {
+		if !e.cache.has(h) && e.pendingBlocks[h] == 0 {
 			return i
 		}
 	}
@@ -165,30 +171,30 @@
 }
 
 func (e *engine) announcement() target.Announcement {
-	e.sequence++
-	tokens := int(e.wait().Seconds() * e.sim.config.PrefillTokensPerSecond)
+	e.announcementSequence++
+	tokens := int(e.prefillBacklog().Seconds() * e.sim.config.PrefillTokensPerSecond)
 	return target.Announcement{
-		ID: e.id, Incarnation: e.incarnation, Sequence: e.sequence, Kind: target.KindEngine,
+		ID: e.id, Incarnation: e.incarnation, Sequence: e.announcementSequence, Kind: target.KindEngine,
 		Zone: e.zone, Region: region, Model: model, Version: version,
 		BatchSlots: e.sim.config.Slots, CacheBlocks: e.sim.config.CacheBlocks, Loading: e.down,
 		Load: target.Load{Running: e.running, Waiting: len(e.waiting), QueuedPrefillTokens: tokens},
 	}
 }
 
-// blockCache keeps the most recently used blocks.
+// blockCache is an LRU cache of blocks.
 type blockCache struct {
 	capacity int
 	blocks   map[prefix.Hash]*list.Element
-	order    *list.List
+	recency  *list.List
 }
 
 type cachedBlock struct {
-	hash prefix.Hash
-	used time.Duration
+	hash     prefix.Hash
+	lastUsed time.Duration
 }
 
 func newBlockCache(capacity int) blockCache {
-	return blockCache{capacity: capacity, blocks: make(map[prefix.Hash]*list.Element), order: list.New()}
+	return blockCache{capacity: capacity, blocks: make(map[prefix.Hash]*list.Element), recency: list.New()}
 }
 
 func (c *blockCache) has(h prefix.Hash) bool {
@@ -196,7 +202,7 @@
 	return ok
 }
 
-func (c *blockCache) match(chain []prefix.Hash) int {
+func (c *blockCache) matchLength(chain []prefix.Hash) int {
 	for i, h := range chain {
 		if !c.has(h) {
 			return i
@@ -205,30 +211,30 @@
 	return len(chain)
 }
 
-// store adds a chain; the deepest blocks are evicted first.
+// store adds the blocks of a chain. Eviction starts with the deepest blocks.
 func (c *blockCache) store(chain []prefix.Hash, now time.Duration) (added, evicted []prefix.Hash, age time.Duration) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		h := chain[i]
 		if held, ok := c.blocks[h]; ok {
-			held.Value.(*cachedBlock).used = now
-			c.order.MoveToFront(held)
+			held.Value.(*cachedBlock).lastUsed = now
+			c.recency.MoveToFront(held)
 			continue
 		}
-		c.blocks[h] = c.order.PushFront(&cachedBlock{h, now})
+		c.blocks[h] = c.recency.PushFront(&cachedBlock{h, now})
 		added = append(added, h)
 	}
-	for c.order.Len() > c.capacity {
-		b := c.order.Remove(c.order.Back()).(*cachedBlock)
+	for c.recency.Len() > c.capacity {
+		b := c.recency.Remove(c.recency.Back()).(*cachedBlock)
 		delete(c.blocks, b.hash)
 		evicted = append(evicted, b.hash)
-		age = now - b.used
+		age = now - b.lastUsed
 	}
 	return added, evicted, age
 }
 
-func (c *blockCache) content() []prefix.Hash {
+func (c *blockCache) hashes() []prefix.Hash {
 	var all []prefix.Hash
-	for e := c.order.Front(); e != nil; e = e.Next() {
+	for e := c.recency.Front(); e != nil; e = e.Next() {
 		all = append(all, e.Value.(*cachedBlock).hash)
 	}
 	return all
--- a/internal/enginemodel/model_test.go
+++ b/internal/enginemodel/model_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// measure runs a policy of Policies with the seeds of docs/MEASUREMENTS.md,
-// pooled: the p99 of a small workspace in one run rests on 3 requests.
+// measure runs a policy of Policies with the seeds of docs/MEASUREMENTS.md and
+// pools the samples, because the p99 of a small workspace in a single run is
+// determined by 3 requests.
 func measure(c Config, policy int) Measures {
 	const seeds = 5
 	pooled := Run(c, Policies[policy])
@@ -17,9 +18,9 @@
 	return pooled.Measures()
 }
 
-// Guards the goals of section 4 of the design page for both large groups, with
+// Guards the goals of section 4 of the design page for both large groups: with
 // cold starts, lost events and shifts of the hot set, and under worse
-// conditions than the deployments have.
+// conditions than in the deployments.
 func TestGoals(t *testing.T) {
 	deployments := Deployments(1)
 	for _, test := range []struct {
@@ -43,26 +44,27 @@
 
 func checkGoals(t *testing.T, least, oracle, ours Measures) {
 	if ours.HitRate < 0.95*oracle.HitRate {
-		t.Errorf("hit rate %.3f, oracle %.3f", ours.HitRate, oracle.HitRate)
+		t.Errorf("hit rate %.3f, want at least 95%% of the oracle's %.3f", ours.HitRate, oracle.HitRate)
 	}
 	if 2*ours.P99 > least.P99 || float64(ours.P99) > 1.2*float64(oracle.P99) {
-		t.Errorf("p99 %v, least outstanding %v, oracle %v", ours.P99, least.P99, oracle.P99)
+		t.Errorf("p99 %v, want at most half of least outstanding's %v and 1.2 times the oracle's %v", ours.P99, least.P99, oracle.P99)
 	}
 	if ours.Waste >= 0.05 {
-		t.Errorf("waste %.3f", ours.Waste)
+		t.Errorf("wasted fraction of the prompt tokens %.3f, want below 0.05", ours.Waste)
 	}
 	if ours.WorstWorkspace > 1.15 {
-		t.Errorf("p99 of the worst workspace is %.3f of the median", ours.WorstWorkspace)
+		t.Errorf("p99 of the worst workspace is %.3f times the median, want at most 1.15", ours.WorstWorkspace)
 	}
 	if ours.Refused > 0 {
-		t.Errorf("refused %.3f", ours.Refused)
+		t.Errorf("refused fraction %.3f, want 0", ours.Refused)
 	}
 }
 
-// Guards the results page: the same seed gives the same figures.
+// Guards against results that differ between runs with the same seed, which
+// would make the results page not reproducible.
 func TestRepeatable(t *testing.T) {
 	c := Deployments(3)[2]
 	if a, b := Run(c, Policies[4]).Measures(), Run(c, Policies[4]).Measures(); !reflect.DeepEqual(a, b) {
-		t.Errorf("two runs gave %+v and %+v", a, b)
+		t.Errorf("two runs with the same seed gave %+v and %+v", a, b)
 	}
 }
--- a/internal/enginemodel/policy.go
+++ b/internal/enginemodel/policy.go
@@ -13,43 +13,47 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Policy is one way to place requests.
+// Policy is one way to place requests on engines.
 type Policy struct {
-	// Name labels the policy.
+	// Name labels the policy in reports.
 	Name  string
 	build func(s *simulation) policy
 }
 
-// Policies lists what is compared. Round robin, hashing and the oracle know at
-// once which engines are up; the others learn it from heartbeats.
+// Policies lists the policies to compare. Round robin, prefix hash and the
+// oracle know immediately which engines are up; the others learn it from
+// heartbeats.
 var Policies = []Policy{
 	{"round robin", func(s *simulation) policy { return &roundRobin{simulation: s} }},
-	{"least outstanding", func(s *simulation) policy { return newPicked(s, knowledge{}) }},
+	{"least outstanding", func(s *simulation) policy { return newPickerPolicy(s, inputs{}) }},
 	{"prefix hash", func(s *simulation) policy { return &prefixHash{s} }},
 	{"oracle", func(s *simulation) policy { return &oracle{s} }},
-	{"cuminwing", func(s *simulation) policy { return newPicked(s, knowledge{byPrefix: true, owners: true, peers: true}) }},
+	{"cuminwing", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true, owners: true, peers: true}) }},
 }
 
-// Parts lists the picker with parts of its knowledge missing.
+// Parts lists variants of the picker that lack some of its inputs.
 var Parts = []Policy{
 	{"all", Policies[4].build},
-	{"without the dispatches of other VMs", func(s *simulation) policy { return newPicked(s, knowledge{byPrefix: true, owners: true}) }},
-	{"without the owners of chains", func(s *simulation) policy { return newPicked(s, knowledge{byPrefix: true, peers: true}) }},
-	{"without both", func(s *simulation) policy { return newPicked(s, knowledge{byPrefix: true}) }},
+	{"without the dispatches of other VMs", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true, owners: true}) }},
+	{"without the owners of chains", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true, peers: true}) }},
+	{"without both", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true}) }},
 }
 
-// knowledge says what a picker uses.
-type knowledge struct {
-	// byPrefix is false for least outstanding.
-	byPrefix bool
-	// owners and peers are what other VMs tell.
+// inputs selects the information that a picker uses.
+type inputs struct {
+	// index selects the prefix-aware picker; without it the policy is least
+	// outstanding.
+	index bool
+	// owners makes pickers query the owner of a chain and wait for a concurrent
+	// placement of the same chain. peers makes them count the dispatches of
+	// other VMs.
 	owners, peers bool
 }
 
-func (s *simulation) up(r *request) []*engine {
+func (s *simulation) availableEngines(r *request) []*engine {
 	var usable []*engine
 	for _, e := range s.engines {
-		if !e.down && !slices.Contains(r.exclude, e) {
+		if !e.down && !slices.Contains(r.excluded, e) {
 			usable = append(usable, e)
 		}
 	}
@@ -62,9 +66,9 @@
 }
 
 func (p *roundRobin) place(r *request) (*engine, time.Duration) {
-	usable := p.up(r)
+	usable := p.availableEngines(r)
 	if len(usable) == 0 {
-		return r.none()
+		return r.retryLater()
 	}
 	p.next++
 	return usable[p.next%len(usable)], 0
@@ -73,17 +77,18 @@
 // prefixHash sends prompts with the same first blocks to the same engine.
 type prefixHash struct{ *simulation }
 
-// hashedBlocks covers the instructions of a workspace and the template.
+// hashedBlocks is the number of leading blocks that are hashed: those of the
+// workspace's instructions and of the template.
 const hashedBlocks = 6
 
 func (p *prefixHash) place(r *request) (*engine, time.Duration) {
-	usable := p.up(r)
+	usable := p.availableEngines(r)
 	if len(usable) == 0 {
-		return r.none()
+		return r.retryLater()
 	}
 	key := uint64(r.chain[min(hashedBlocks, len(r.chain))-1])
 	best := slices.MaxFunc(usable, func(a, b *engine) int {
-		scoreA, scoreB := scramble(key^uint64(a.index+1)), scramble(key^uint64(b.index+1))
+		scoreA, scoreB := mix64(key^uint64(a.index+1)), mix64(key^uint64(b.index+1))
 		if scoreA < scoreB {
 			return -1
 		}
@@ -92,17 +97,18 @@
 	return best, 0
 }
 
-// oracle knows every cache and queue as it is now and chooses the least time
-// to first token, with the same share for the work as the picker: without it
-// the oracle does worse.
+// oracle knows the current state of every cache and queue and chooses the
+// engine with the least time to first token. It adds the same share of the
+// request's own prefill work to the cost as the picker; without this it
+// performs worse.
 type oracle struct{ *simulation }
 
 func (p *oracle) place(r *request) (*engine, time.Duration) {
 	var best *engine
 	var least time.Duration
-	for _, e := range p.up(r) {
-		work := p.prefillTime(r.tokens - e.heldForNew(r.chain)*p.config.BlockTokens)
-		cost := e.wait() + work + work/4
+	for _, e := range p.availableEngines(r) {
+		work := p.prefillTime(r.promptTokens - e.expectedHeldBlocksForNew(r.chain)*p.config.BlockTokens)
+		cost := e.prefillBacklog() + work + work/4
 		if e.zone != vmZone(r.vm) {
 			cost += zoneRoundTrip
 		}
@@ -111,145 +117,146 @@
 		}
 	}
 	if best == nil {
-		return r.none()
+		return r.retryLater()
 	}
 	return best, 0
 }
 
-// picked runs the pickers of the project, one for each VM.
-type picked struct {
+// pickerPolicy runs the project's pickers, one for each VM.
+type pickerPolicy struct {
 	*simulation
 	snapshot *config.Snapshot
-	vms      []pickedVM
-	// shared stands for the owners of the chains.
-	shared  *prefix.Index
-	intents *prefix.Intents
-	streams map[target.Ref]uint64
-	stream  uint64
+	vms      []pickerVM
+	// sharedIndex stands for the indexes of all chain owners.
+	sharedIndex *prefix.Index
+	intents     *prefix.Intents
+	streams     map[target.Ref]uint64
+	lastStream  uint64
 }
 
-type pickedVM struct {
-	registry *target.Registry
-	picker   serving.Picker
-	chained  *routing.Picker
+type pickerVM struct {
+	registry         *target.Registry
+	leastOutstanding serving.Picker
+	prefixPicker     *routing.Picker
 }
 
-func newPicked(s *simulation, k knowledge) policy {
-	p := &picked{simulation: s, shared: prefix.NewIndex(s.clock), intents: prefix.NewIntents(), streams: make(map[target.Ref]uint64)}
+func newPickerPolicy(s *simulation, enabled inputs) policy {
+	p := &pickerPolicy{simulation: s, sharedIndex: prefix.NewIndex(s.clock), intents: prefix.NewIntents(), streams: make(map[target.Ref]uint64)}
 	document := config.Document{Models: map[string]config.Model{model: {
 		ServingVersion: version, BlockTokens: s.config.BlockTokens, PrefillTokensPerSecond: s.config.PrefillTokensPerSecond,
 	}}}
 	p.snapshot = config.NewSnapshot(document, 1)
 	for i := range s.config.VMs {
-		vm := pickedVM{registry: target.NewRegistry()}
+		vm := pickerVM{registry: target.NewRegistry()}
 		rng := rand.New(rand.NewPCG(s.config.Seed, uint64(100+i)))
-		if k.byPrefix {
-			vm.chained = &routing.Picker{
+		if enabled.index {
+			vm.prefixPicker = &routing.Picker{
 				Registry: vm.registry, Clock: s.clock, Rand: rng, Index: prefix.NewIndex(s.clock),
-				Dispatched: p.dispatched(i, k.peers), Zone: vmZone(i), Region: region,
+				Dispatched: p.onDispatch(i, enabled.peers), Zone: vmZone(i), Region: region,
 			}
-			if k.owners {
-				vm.chained.Remote = p
+			if enabled.owners {
+				vm.prefixPicker.Remote = p
 			}
 		} else {
-			vm.picker = &routing.LeastOutstanding{Registry: vm.registry, Clock: s.clock, Rand: rng}
+			vm.leastOutstanding = &routing.LeastOutstanding{Registry: vm.registry, Clock: s.clock, Rand: rng}
 		}
 		p.vms = append(p.vms, vm)
 	}
-	p.tick()
+	p.tickIndexes()
 	return p
 }
 
-// tickInterval is that of the daemon.
+// tickInterval is the interval at which the daemon ticks its indexes.
 const tickInterval = 200 * time.Millisecond
 
-func (p *picked) tick() {
-	p.shared.Tick()
+func (p *pickerPolicy) tickIndexes() {
+	p.sharedIndex.Tick()
 	for _, vm := range p.vms {
-		if vm.chained != nil {
-			vm.chained.Index.Tick()
+		if vm.prefixPicker != nil {
+			vm.prefixPicker.Index.Tick()
 		}
 	}
-	p.after(tickInterval, p.tick)
+	p.scheduleAfter(tickInterval, p.tickIndexes)
 }
 
-func (p *picked) place(r *request) (*engine, time.Duration) {
-	call := &serving.Call{Model: model, Version: version, Snapshot: p.snapshot, PromptTokens: r.tokens}
+func (p *pickerPolicy) place(r *request) (*engine, time.Duration) {
+	call := &serving.Call{Model: model, Version: version, Snapshot: p.snapshot, PromptTokens: r.promptTokens}
 	req := serving.PickRequest{Call: call}
-	for _, e := range r.exclude {
+	for _, e := range r.excluded {
 		req.Exclude = append(req.Exclude, e.ref())
 	}
 	vm := p.vms[r.vm]
-	if vm.chained != nil && vm.chained.Remote != nil && !r.waited {
-		r.waited = p.intents.Begin(r.chain, p.shared.Longest(r.chain), p.clock()) != nil
-		if r.waited {
+	if vm.prefixPicker != nil && vm.prefixPicker.Remote != nil && !r.waitedForPlacement {
+		r.waitedForPlacement = p.intents.Begin(r.chain, p.sharedIndex.Longest(r.chain), p.clock()) != nil
+		if r.waitedForPlacement {
 			return nil, p.config.PublishLag
 		}
 	}
 	var chosen *serving.Pick
 	var refusal *serving.Refusal
-	if vm.chained != nil {
-		chosen, refusal = vm.chained.PickChain(context.Background(), req, serving.PrefixHint{Blocks: r.chain})
+	if vm.prefixPicker != nil {
+		chosen, refusal = vm.prefixPicker.PickChain(context.Background(), req, serving.PrefixHint{Blocks: r.chain})
 	} else {
-		chosen, refusal = vm.picker.Pick(context.Background(), req)
+		chosen, refusal = vm.leastOutstanding.Pick(context.Background(), req)
 	}
 	if refusal != nil {
-		return r.none()
+		return r.retryLater()
 	}
-	r.done = func(err error, cached int) { chosen.Done(serving.AttemptResult{Err: err, CachedTokens: cached}) }
+	r.onDone = func(err error, cached int) { chosen.Done(serving.AttemptResult{Err: err, CachedTokens: cached}) }
 	return p.engines[slices.IndexFunc(p.engines, func(e *engine) bool { return e.id == chosen.Target.ID })], 0
 }
 
-// report implements listener.
-func (p *picked) report(a target.Announcement) {
+// onAnnouncement implements observer.
+func (p *pickerPolicy) onAnnouncement(a target.Announcement) {
 	for _, vm := range p.vms {
-		if vm.registry.Announce(a, p.clock()) == target.Replaced && vm.chained != nil {
-			vm.chained.Index.Drop(target.Ref{ID: a.ID, Incarnation: a.Incarnation - 1})
+		if vm.registry.Announce(a, p.clock()) == target.Replaced && vm.prefixPicker != nil {
+			vm.prefixPicker.Index.Drop(target.Ref{ID: a.ID, Incarnation: a.Incarnation - 1})
 		}
 	}
 }
 
-// event implements listener. A gap is followed by a resync.
-func (p *picked) event(ref target.Ref, event prefix.Event) {
-	if p.shared.Apply(prefix.Batch{Ref: ref, Stream: p.streams[ref], Events: []prefix.Event{event}}) {
+// onCacheEvent implements observer. A gap in the events triggers a resync.
+func (p *pickerPolicy) onCacheEvent(ref target.Ref, event prefix.Event) {
+	if p.sharedIndex.Apply(prefix.Batch{Ref: ref, Stream: p.streams[ref], Events: []prefix.Event{event}}) {
 		p.resync(ref)
 	}
 }
 
-func (p *picked) resync(ref target.Ref) {
+func (p *pickerPolicy) resync(ref target.Ref) {
 	for _, e := range p.engines {
 		if e.ref() != ref {
 			continue
 		}
-		p.stream++
-		stream := p.stream
-		through := e.events
-		content := e.cache.content()
-		p.after(p.config.PublishLag, func() {
+		p.lastStream++
+		stream := p.lastStream
+		through := e.eventSequence
+		content := e.cache.hashes()
+		p.scheduleAfter(p.config.PublishLag, func() {
 			p.streams[ref] = stream
-			p.shared.Apply(prefix.Batch{Ref: ref, Stream: stream, Reset: true, Through: through, Events: []prefix.Event{{Kind: prefix.Stored, Blocks: content}}})
+			p.sharedIndex.Apply(prefix.Batch{Ref: ref, Stream: stream, Reset: true, Through: through, Events: []prefix.Event{{Kind: prefix.Stored, Blocks: content}}})
 		})
 	}
 }
 
 // Lookup implements routing.Lookup.
-func (p *picked) Lookup(_ context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
-	return p.shared.Lookup(nil, chain), true
+func (p *pickerPolicy) Lookup(_ context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
+	return p.sharedIndex.Lookup(nil, chain), true
 }
 
-// dispatched tells the owner of the chain and the other VMs.
-func (p *picked) dispatched(vm int, peers bool) func(d routing.Dispatch) {
+// onDispatch returns the dispatch callback of a VM, which informs the owner of
+// the chain and, if tellPeers is set, the other VMs.
+func (p *pickerPolicy) onDispatch(vm int, tellPeers bool) func(d routing.Dispatch) {
 	return func(d routing.Dispatch) {
-		p.after(p.config.PublishLag, func() {
+		p.scheduleAfter(p.config.PublishLag, func() {
 			if d.Failed {
-				p.shared.RetractPredicted(d.Ref, d.Chain)
+				p.sharedIndex.RetractPredicted(d.Ref, d.Chain)
 				return
 			}
-			p.shared.Predict(d.Ref, d.Chain, d.Held)
+			p.sharedIndex.Predict(d.Ref, d.Chain, d.Held)
 			p.intents.Placed(d.Chain)
 			for i, other := range p.vms {
-				if peers && i != vm {
-					other.chained.Elsewhere(d.Ref, d.Work)
+				if tellPeers && i != vm {
+					other.prefixPicker.Elsewhere(d.Ref, d.Work)
 				}
 			}
 		})
--- a/internal/enginemodel/result.go
+++ b/internal/enginemodel/result.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Result collects the measures of runs.
+// Result collects the samples of one or more runs.
 type Result struct {
-	warmup     time.Duration
-	workspaces [][]time.Duration
-	refused    int
-	prompt     int
-	reused     int
-	wasted     int
-	evictions  int
-	ageSum     time.Duration
+	warmup         time.Duration
+	firstTokens    [][]time.Duration
+	refused        int
+	promptTokens   int
+	reusedTokens   int
+	wastedTokens   int
+	evictions      int
+	evictionAgeSum time.Duration
 }
 
 func newResult(c Config) *Result {
-	return &Result{warmup: c.Warmup, workspaces: make([][]time.Duration, len(c.Workload.Shares))}
+	return &Result{warmup: c.Warmup, firstTokens: make([][]time.Duration, len(c.Workload.Shares))}
 }
 
-func (r *Result) add(q *request, first time.Duration) {
+func (r *Result) recordFirstToken(q *request, first time.Duration) {
 	if q.arrived < r.warmup {
 		return
 	}
-	if first > stallLimit {
-		r.refuse(q)
+	if first > firstTokenTimeout {
+		r.recordRefusal(q)
 	}
-	r.workspaces[q.workspace] = append(r.workspaces[q.workspace], first)
-	r.prompt += q.tokens
-	r.reused += q.cached
-	r.wasted += max(0, q.known-q.cached)
+	r.firstTokens[q.workspace] = append(r.firstTokens[q.workspace], first)
+	r.promptTokens += q.promptTokens
+	r.reusedTokens += q.cachedTokens
+	r.wastedTokens += max(0, q.reusableTokens-q.cachedTokens)
 }
 
-func (r *Result) evicted(blocks int, age time.Duration) {
+func (r *Result) recordEvictions(blocks int, age time.Duration) {
 	r.evictions += blocks
-	r.ageSum += time.Duration(blocks) * age
+	r.evictionAgeSum += time.Duration(blocks) * age
 }
 
-func (r *Result) refuse(q *request) {
+func (r *Result) recordRefusal(q *request) {
 	if q.arrived >= r.warmup {
 		r.refused++
 	}
@@ -47,56 +47,57 @@
 
 // Merge adds the samples of another run of the same configuration.
 func (r *Result) Merge(other *Result) {
-	for i := range r.workspaces {
-		r.workspaces[i] = append(r.workspaces[i], other.workspaces[i]...)
+	for i := range r.firstTokens {
+		r.firstTokens[i] = append(r.firstTokens[i], other.firstTokens[i]...)
 	}
 	r.refused += other.refused
-	r.prompt += other.prompt
-	r.reused += other.reused
-	r.wasted += other.wasted
+	r.promptTokens += other.promptTokens
+	r.reusedTokens += other.reusedTokens
+	r.wastedTokens += other.wastedTokens
 	r.evictions += other.evictions
-	r.ageSum += other.ageSum
+	r.evictionAgeSum += other.evictionAgeSum
 }
 
 // Measures are the five measures of the design page.
 type Measures struct {
-	// Requests counts the samples.
+	// Requests is the number of samples.
 	Requests int
-	// HitRate is the part of the prompt tokens that was reused.
+	// HitRate is the fraction of the prompt tokens that were reused.
 	HitRate float64
-	// P50 and P99 are the time to first token.
+	// P50 and P99 are percentiles of the time to first token.
 	P50, P99 time.Duration
-	// Waste is the part of the prompt tokens that was computed although a
-	// live engine held it when the request was placed.
+	// Waste is the fraction of the prompt tokens that were computed although a
+	// live engine held them when the request was placed.
 	Waste float64
-	// WorstWorkspace is the p99 of the worst workspace over that of the
+	// WorstWorkspace is the p99 of the worst workspace divided by that of the
 	// median workspace.
 	WorstWorkspace float64
-	// EvictionAge is how long evicted blocks were unused on average.
+	// EvictionAge is the mean time between the last use of a block and its
+	// eviction.
 	EvictionAge time.Duration
-	// Refused is the part of requests without a first token in time.
+	// Refused is the fraction of requests that got no first token in time.
 	Refused float64
 }
 
-// Measures computes the measures.
+// Measures computes the measures from the samples.
 func (r *Result) Measures() Measures {
-	all := slices.Concat(r.workspaces...)
+	all := slices.Concat(r.firstTokens...)
 	m := Measures{Requests: len(all), P50: quantile(all, 0.5), P99: quantile(all, 0.99)}
-	m.HitRate = float64(r.reused) / float64(max(1, r.prompt))
-	m.Waste = float64(r.wasted) / float64(max(1, r.prompt))
+	m.HitRate = float64(r.reusedTokens) / float64(max(1, r.promptTokens))
+	m.Waste = float64(r.wastedTokens) / float64(max(1, r.promptTokens))
 	m.Refused = float64(r.refused) / float64(max(1, len(all)))
-	m.EvictionAge = r.ageSum / time.Duration(max(1, r.evictions))
+	m.EvictionAge = r.evictionAgeSum / time.Duration(max(1, r.evictions))
 	var tails []time.Duration
-	for _, samples := range r.workspaces {
+	for _, samples := range r.firstTokens {
 		tails = append(tails, quantile(samples, 0.99))
 	}
 	m.WorstWorkspace = float64(slices.Max(tails)) / float64(max(1, quantile(tails, 0.5)))
 	return m
 }
 
-// FirstTokens returns all samples in order.
+// FirstTokens returns all times to first token in ascending order.
 func (r *Result) FirstTokens() []time.Duration {
-	all := slices.Concat(r.workspaces...)
+	all := slices.Concat(r.firstTokens...)
 	slices.Sort(all)
 	return all
 }
--- a/internal/enginemodel/simulation.go
+++ b/internal/enginemodel/simulation.go
@@ -10,7 +10,7 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// The group that is modelled.
+// Region, model and weights version of the modelled engine group.
 const (
 	region  = "home"
 	model   = "model"
@@ -19,104 +19,116 @@
 
 // Config describes one run.
 type Config struct {
-	// Name labels the run.
+	// Name labels the run in reports.
 	Name string
-	// Seed makes the run repeatable.
+	// Seed initializes the random numbers and makes the run repeatable.
 	Seed uint64
-	// Engines and VMs are spread evenly over two zones.
+	// Engines and VMs are distributed evenly over two zones.
 	Engines, VMs int
-	// Slots is the number of requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// CacheBlocks and BlockTokens size the cache of an engine.
+	// CacheBlocks is the cache size of an engine in blocks, and BlockTokens the
+	// size of a block in tokens.
 	CacheBlocks, BlockTokens int
-	// PrefillTokensPerSecond is the speed of one engine.
+	// PrefillTokensPerSecond is the prefill speed of one engine.
 	PrefillTokensPerSecond float64
-	// TokenInterval is the time between tokens.
+	// TokenInterval is the time between two output tokens.
 	TokenInterval time.Duration
-	// Workload is what callers send.
+	// Workload describes the requests.
 	Workload Workload
-	// Duration is the modelled time, of which Warmup is not measured.
+	// Duration is the simulated time. Requests that arrive during Warmup, its
+	// first part, are not measured.
 	Duration, Warmup time.Duration
-	// Restart is how long a crashed engine is away; Crashes lists when
-	// engines crash, always the first ones.
+	// Restart is how long a crashed engine is down. Crashes lists the crashes;
+	// each affects the engines with the lowest indexes.
 	Restart time.Duration
 	Crashes []Crash
-	// LoadInterval and LoadLag are those of load reports.
+	// LoadInterval is the interval of load reports, and LoadLag the delay until
+	// they arrive.
 	LoadInterval, LoadLag time.Duration
-	// EventLag and EventLoss are those of cache events.
+	// EventLag is the delay until cache events arrive, and EventLoss the
+	// fraction of them that is lost.
 	EventLag  time.Duration
 	EventLoss float64
-	// PublishLag is how long the owner of a chain hears of a choice later.
+	// PublishLag is the delay of messages between VMs: the owner of a chain
+	// learns of a placement this much later.
 	PublishLag time.Duration
 }
 
-// Crash is the loss of engines at one moment.
+// Crash is the simultaneous crash of some engines.
 type Crash struct {
-	// At is when it happens.
+	// At is the time of the crash.
 	At time.Duration
-	// Engines is how many engines crash.
+	// Engines is the number of engines that crash.
 	Engines int
 }
 
 // request is one prompt.
 type request struct {
-	workspace int
-	vm        int
-	chain     []prefix.Hash
-	tokens    int
-	output    int
-	arrived   time.Duration
-	exclude   []*engine
-	done      func(err error, cached int)
-	// planned is the prefill work expected when it was queued.
-	planned int
-	cached  int
-	// waited is true once the request waited for another one to be placed.
-	waited bool
-	// known is what some live engine held when the request was placed.
-	known int
+	workspace    int
+	vm           int
+	chain        []prefix.Hash
+	promptTokens int
+	outputTokens int
+	arrived      time.Duration
+	excluded     []*engine
+	onDone       func(err error, cached int)
+	// plannedPrefillTokens is the number of tokens that were expected to need
+	// prefill when the request was queued.
+	plannedPrefillTokens int
+	cachedTokens         int
+	// waitedForPlacement is true once the request has waited for the placement
+	// of another one.
+	waitedForPlacement bool
+	// reusableTokens is the longest prefix, in tokens, that a live engine held
+	// when the request was placed.
+	reusableTokens int
 }
 
-// policy places requests.
+// policy chooses engines for requests.
 type policy interface {
-	// place returns an engine, or after which time to try again.
+	// place returns an engine, or nil and the delay before the next try.
 	place(r *request) (*engine, time.Duration)
 }
 
-// listener is a policy that follows reports and events.
-type listener interface {
-	report(a target.Announcement)
-	event(ref target.Ref, event prefix.Event)
+// observer is a placement policy that receives announcements and cache events.
+type observer interface {
+	onAnnouncement(a target.Announcement)
+	onCacheEvent(ref target.Ref, event prefix.Event)
 }
 
 type simulation struct {
-	config  Config
-	rng     *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	serial  int
-	engines []*engine
-	policy  policy
-	result  *Result
+	config       Config
+	rng          *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	lastSequence int
+	engines      []*engine
+	policy       policy
+	result       *Result
 }
 
-// stallLimit is the time to first token after which a request counts as
+// firstTokenTimeout is the time to first token above which a request counts as
 // refused.
-const stallLimit = 10 * time.Second
+const firstTokenTimeout = 10 * time.Second
 
-// retryPause is the pause before a request that found no engine tries again.
-const retryPause = 100 * time.Millisecond
+// placementRetryDelay is the delay before a request for which no engine was
+// found is placed again.
+const placementRetryDelay = 100 * time.Millisecond
 
-// none lets a request that found no engine try all of them again later.
-func (r *request) none() (*engine, time.Duration) {
-	r.exclude = nil
-	return nil, retryPause
+// retryLater returns the result of place for a request for which no engine was
+// found. It clears the excluded engines, so that the next try considers all of
+// them.
+func (r *request) retryLater() (*engine, time.Duration) {
+	r.excluded = nil
+	return nil, placementRetryDelay
 }
 
-// zoneRoundTrip is added to the time to first token across zones.
+// zoneRoundTrip is added to the time to first token if VM and engine are in
+// different zones.
 const zoneRoundTrip = time.Millisecond
 
-// Run runs one policy.
+// Run simulates one run with one policy.
 func Run(c Config, p Policy) *Result {
 	s := &simulation{config: c, rng: rand.New(rand.NewPCG(c.Seed, 1))}
 	s.result = newResult(c)
@@ -125,101 +137,102 @@
 	}
 	s.policy = p.build(s)
 	for _, r := range c.Workload.generate(c) {
-		s.at(r.arrived, func() { s.dispatch(r) })
+		s.schedule(r.arrived, func() { s.dispatch(r) })
 	}
 	for _, crash := range c.Crashes {
-		s.at(crash.At, func() {
+		s.schedule(crash.At, func() {
 			for _, e := range s.engines[:crash.Engines] {
 				e.crash()
 			}
 		})
 	}
-	if l, ok := s.policy.(listener); ok {
+	if o, ok := s.policy.(observer); ok {
 		for i, e := range s.engines {
-			s.report(l, e, time.Duration(i)*c.LoadInterval/time.Duration(c.Engines))
+			s.scheduleAnnouncements(o, e, time.Duration(i)*c.LoadInterval/time.Duration(c.Engines))
 		}
 	}
-	for len(s.queue) > 0 && s.now < c.Duration+stallLimit {
-		next := heap.Pop(&s.queue).(scheduled)
+	for len(s.queue) > 0 && s.now < c.Duration+firstTokenTimeout {
+		next := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = next.at
 		next.run()
 	}
 	return s.result
 }
 
-// report sends the load of an engine at each interval; it is heard after the
-// lag.
-func (s *simulation) report(l listener, e *engine, first time.Duration) {
-	l.report(e.announcement())
+// scheduleAnnouncements delivers an announcement of the engine now, and from
+// first on sends one at each load interval, which arrives after the load lag.
+func (s *simulation) scheduleAnnouncements(o observer, e *engine, first time.Duration) {
+	o.onAnnouncement(e.announcement())
 	var tick func()
 	tick = func() {
-		made := e.announcement()
-		s.after(s.config.LoadLag, func() { l.report(made) })
-		s.after(s.config.LoadInterval, tick)
+		announcement := e.announcement()
+		s.scheduleAfter(s.config.LoadLag, func() { o.onAnnouncement(announcement) })
+		s.scheduleAfter(s.config.LoadInterval, tick)
 	}
-	s.at(first, tick)
+	s.schedule(first, tick)
 }
 
 func (s *simulation) dispatch(r *request) {
-	if s.now-r.arrived > stallLimit {
-		s.result.refuse(r)
+	if s.now-r.arrived > firstTokenTimeout {
+		s.result.recordRefusal(r)
 		return
 	}
-	r.known = s.knownTokens(r)
-	e, later := s.policy.place(r)
+	r.reusableTokens = s.reusableTokens(r)
+	e, retryAfter := s.policy.place(r)
 	if e == nil {
-		s.after(later, func() { s.dispatch(r) })
+		s.scheduleAfter(retryAfter, func() { s.dispatch(r) })
 		return
 	}
 	if e.down {
-		s.failed(r, e)
+		s.redispatch(r, e)
 		return
 	}
 	e.accept(r)
 }
 
-// failed sends a request to another engine.
-func (s *simulation) failed(r *request, e *engine) {
-	if r.done != nil {
-		r.done(fmt.Errorf("engine %s is down", e.id), 0)
+// redispatch sends a request whose engine is down to another engine.
+func (s *simulation) redispatch(r *request, e *engine) {
+	if r.onDone != nil {
+		r.onDone(fmt.Errorf("engine %s is down", e.id), 0)
 	}
-	r.exclude = append(r.exclude, e)
-	s.after(time.Millisecond, func() { s.dispatch(r) })
+	r.excluded = append(r.excluded, e)
+	s.scheduleAfter(time.Millisecond, func() { s.dispatch(r) })
 }
 
-// knownTokens is the longest leading part that any live engine holds.
-func (s *simulation) knownTokens(r *request) int {
+// reusableTokens returns the length, in tokens, of the longest prefix that any
+// live engine holds.
+func (s *simulation) reusableTokens(r *request) int {
 	most := 0
 	for _, e := range s.engines {
 		if !e.down {
-			most = max(most, e.cache.match(r.chain))
+			most = max(most, e.cache.matchLength(r.chain))
 		}
 	}
 	return most * s.config.BlockTokens
 }
 
-func (s *simulation) first(r *request, e *engine) {
-	took := s.now - r.arrived
+func (s *simulation) recordFirstToken(r *request, e *engine) {
+	timeToFirstToken := s.now - r.arrived
 	if e.zone != vmZone(r.vm) {
-		took += zoneRoundTrip
+		timeToFirstToken += zoneRoundTrip
 	}
-	s.result.add(r, took)
+	s.result.recordFirstToken(r, timeToFirstToken)
 }
 
-func (s *simulation) finished(r *request) {
-	if r.done != nil {
-		r.done(nil, r.cached)
+func (s *simulation) completeRequest(r *request) {
+	if r.onDone != nil {
+		r.onDone(nil, r.cachedTokens)
 	}
 }
 
-// cacheEvent delivers an event after the lag, unless it is lost.
-func (s *simulation) cacheEvent(e *engine, event prefix.Event) {
-	l, ok := s.policy.(listener)
+// deliverCacheEvent delivers an event after the event lag unless it is lost.
+func (s *simulation) deliverCacheEvent(e *engine, event prefix.Event) {
+	o, ok := s.policy.(observer)
 	if !ok || s.rng.Float64() < s.config.EventLoss {
 		return
 	}
 	ref := e.ref()
-	s.after(s.config.EventLag, func() { l.event(ref, event) })
+	s.scheduleAfter(s.config.EventLag, func() { o.onCacheEvent(ref, event) })
 }
 
 func (s *simulation) prefillTime(tokens int) time.Duration {
@@ -228,34 +241,34 @@
 
 func (s *simulation) clock() time.Time { return time.Unix(1000, 0).Add(s.now) }
 
-func (s *simulation) at(at time.Duration, run func()) {
-	s.serial++
-	heap.Push(&s.queue, scheduled{at, s.serial, run})
+func (s *simulation) schedule(at time.Duration, run func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, scheduledEvent{at, s.lastSequence, run})
 }
 
-func (s *simulation) after(d time.Duration, run func()) { s.at(s.now+d, run) }
+func (s *simulation) scheduleAfter(d time.Duration, run func()) { s.schedule(s.now+d, run) }
 
 func engineID(i int) string { return fmt.Sprintf("engine-%03d", i) }
 
 func vmZone(vm int) string { return [...]string{"a", "b"}[vm%2] }
 
-type scheduled struct {
-	at     time.Duration
-	serial int
-	run    func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type eventQueue []scheduled
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].serial < q[j].serial
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
