--- a/cmd/cuminwing-node/main.go
+++ b/cmd/cuminwing-node/main.go
@@ -1,6 +1,6 @@
-// Command cuminwing-node runs one process on the users' platform: a front that
-// takes requests, or a member of the core. The settings file of the platform
-// says which.
+// Command cuminwing-node runs one process on the users' platform: either a
+// front, which accepts requests, or a member of the core. The platform's
+// settings file selects the role.
 package main
 
 import (
@@ -25,9 +25,10 @@
 	exitRefused = 2
 )
 
-// memoryPart is the part of the memory limit at which the garbage collector
-// works harder; the rest is left for stacks and socket buffers.
-const memoryPart = 0.6
+// memoryLimitFraction is the fraction of the process's memory limit that is set
+// as the soft limit of the Go runtime, near which the garbage collector runs
+// more often. The rest is reserved for stacks and socket buffers.
+const memoryLimitFraction = 0.6
 
 func main() {
 	app := kingpin.New("cuminwing-node", "Runs a front or a member of the core with the settings of the platform.")
@@ -47,30 +48,30 @@
 		return exitOK
 	}
 	if settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(settings.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryBytes)))
 	}
 	logger, sink := logsink.New(os.Stdout)
 	defer sink.Close()
-	ctx, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer release()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
 	go logReloads(ctx, settings, logger)
 	if err := serve(ctx, settings, role, logger); err != nil {
-		logger.Error("process failed", zap.Error(err))
+		logger.Error("front or core process failed", zap.Error(err))
 		return exitFailed
 	}
 	return exitOK
 }
 
-// logReloads takes the signal that the settings have changed. The seeds are read
-// again whenever they are needed, so nothing else has to be done.
+// logReloads reloads the settings on SIGHUP and logs the result. The seeds are
+// read again whenever they are needed, so nothing else has to be updated.
 func logReloads(ctx context.Context, s edge.Settings, logger *zap.Logger) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-sighup:
 			seeds, err := s.Reload()
 			logger.Info("settings reloaded", zap.Strings("seeds", seeds), zap.Error(err))
 		}
--- a/cmd/cuminwing/main.go
+++ b/cmd/cuminwing/main.go
@@ -1,4 +1,4 @@
-// Command cuminwing is the operators' tool.
+// Command cuminwing is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/cuminwingd/main.go
+++ b/cmd/cuminwingd/main.go
@@ -36,8 +36,9 @@
 		return exitRefused
 	}
 	if check {
-		// Not checked on every start: once the log holds a configuration, an
-		// old document must not keep a VM from serving.
+		// The document is not validated on a normal start: once the control
+		// log holds a configuration, an outdated document file must not
+		// prevent a VM from serving.
 		if _, err := config.LoadFile(s.DocumentFile); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return exitRefused
@@ -55,14 +56,14 @@
 }
 
 func serve(s settings.Settings, logger *zap.Logger) int {
-	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer release()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
 	node, err := daemon.Start(s, daemon.Options{Logger: logger})
 	if err != nil {
 		logger.Error("start failed", zap.Error(err))
 		return exitFailed
 	}
-	<-stop.Done()
+	<-ctx.Done()
 	if err := node.Shutdown(context.Background()); err != nil {
 		logger.Error("shutdown was cut short", zap.Error(err))
 		return exitFailed
