--- a/internal/cmd/measure/decisions.go
+++ b/internal/cmd/measure/decisions.go
@@ -20,19 +20,20 @@
 )
 
 const (
-	decisionBlocks = 100
-	decisionRounds = 21
-	decisionsRound = 2000
+	promptBlocks      = 100
+	decisionRounds    = 21
+	decisionsPerRound = 2000
 )
 
-// writeDecisions measures how the time of a decision grows.
-func writeDecisions(out *strings.Builder) error {
+// writeDecisionTimes measures how the time of a routing decision grows with the
+// number of engines, and writes a table and a plot.
+func writeDecisionTimes(out *strings.Builder) error {
 	fmt.Fprintf(out, "## Time of a decision\n\nPrompts of %d blocks, hot on all engines, without hashing and network; median of %d rounds of %d decisions (%s, %d cores, shared with other work).\n\n",
-		decisionBlocks, decisionRounds, decisionsRound, runtime.Version(), runtime.NumCPU())
+		promptBlocks, decisionRounds, decisionsPerRound, runtime.Version(), runtime.NumCPU())
 	out.WriteString("| engines | us per decision | bytes allocated |\n|---|---|---|\n")
 	var points plotter.XYs
 	for _, n := range []int{10, 60, 150, 300, 600} {
-		took, bytes := timeDecisions(n)
+		took, bytes := measureDecisions(n)
 		fmt.Fprintf(out, "| %d | %.1f | %d |\n", n, took, bytes)
 		points = append(points, plotter.XY{X: float64(n), Y: took})
 	}
@@ -49,16 +50,16 @@
 	return p.Save(plotWidth, plotHeight, plotFile("decisions"))
 }
 
-func timeDecisions(engines int) (microseconds float64, bytes uint64) {
-	picker, req := decisionPicker(engines)
+func measureDecisions(engines int) (microseconds float64, bytes uint64) {
+	picker, req := newPicker(engines)
 	chains := make([][]prefix.Hash, 8)
 	for i := range chains {
 		rng := rand.New(rand.NewPCG(uint64(i), 0))
-		for range decisionBlocks {
+		for range promptBlocks {
 			chains[i] = append(chains[i], prefix.Hash(rng.Uint64()))
 		}
 		for e := range engines {
-			picker.Index.Predict(target.Ref{ID: fmt.Sprint(e), Incarnation: 1}, chains[i][:1+e%decisionBlocks], 0)
+			picker.Index.Predict(target.Ref{ID: fmt.Sprint(e), Incarnation: 1}, chains[i][:1+e%promptBlocks], 0)
 		}
 	}
 	var rounds []float64
@@ -66,23 +67,23 @@
 	runtime.ReadMemStats(&before)
 	for range decisionRounds {
 		start := time.Now()
-		for i := range decisionsRound {
+		for i := range decisionsPerRound {
 			pick, _ := picker.PickChain(context.Background(), req, serving.PrefixHint{Blocks: chains[i%len(chains)]})
 			pick.Done(serving.AttemptResult{})
 		}
-		rounds = append(rounds, float64(time.Since(start).Nanoseconds())/1000/decisionsRound)
+		rounds = append(rounds, float64(time.Since(start).Nanoseconds())/1000/decisionsPerRound)
 	}
 	runtime.ReadMemStats(&after)
 	slices.Sort(rounds)
-	return rounds[decisionRounds/2], (after.TotalAlloc - before.TotalAlloc) / (decisionRounds * decisionsRound)
+	return rounds[decisionRounds/2], (after.TotalAlloc - before.TotalAlloc) / (decisionRounds * decisionsPerRound)
 }
 
-func decisionPicker(engines int) (*routing.Picker, serving.PickRequest) {
+func newPicker(engines int) (*routing.Picker, serving.PickRequest) {
 	picker := &routing.Picker{
 		Registry: target.NewRegistry(), Clock: time.Now, Rand: rand.New(rand.NewPCG(1, 2)),
 		Index: prefix.NewIndex(time.Now), Zone: "a", Region: "r",
 	}
-	// Heartbeats from the future keep the engines live during the run.
+	// Heartbeats dated in the future keep the engines live during the run.
 	const runTime = time.Minute
 	for e := range engines {
 		picker.Registry.Announce(target.Announcement{
@@ -91,6 +92,6 @@
 		}, time.Now().Add(runTime))
 	}
 	document := config.Document{Models: map[string]config.Model{"m": {ServingVersion: "v1"}}}
-	call := &serving.Call{Model: "m", Version: "v1", Snapshot: config.NewSnapshot(document, 1), PromptTokens: 1 + decisionBlocks*config.DefaultBlockTokens}
+	call := &serving.Call{Model: "m", Version: "v1", Snapshot: config.NewSnapshot(document, 1), PromptTokens: 1 + promptBlocks*config.DefaultBlockTokens}
 	return picker, serving.PickRequest{Call: call}
 }
--- a/internal/cmd/measure/main.go
+++ b/internal/cmd/measure/main.go
@@ -1,4 +1,4 @@
-// Command measure compares policies of routing in the queue model of engines
+// Command measure compares routing policies in the queueing model of the engines
 // and writes docs/MEASUREMENTS.md with its plots. Run it from the root of the
 // repository.
 package main
@@ -15,12 +15,14 @@
 )
 
 const (
-	page   = "docs/MEASUREMENTS.md"
-	folder = "docs/measurements"
-	// seeds is the number of runs that each figure is pooled from.
-	seeds = 5
-	// parallel bounds the runs at once, because the machine is shared.
-	parallel = 4
+	outputFile = "docs/MEASUREMENTS.md"
+	plotFolder = "docs/measurements"
+	// seedCount is the number of runs, each with its own seed, that are pooled
+	// for every figure.
+	seedCount = 5
+	// maxParallelRuns limits the concurrent runs, because the machine is
+	// shared with other work.
+	maxParallelRuns = 4
 )
 
 func main() {
@@ -31,7 +33,7 @@
 }
 
 func run() error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(plotFolder, 0o755); err != nil {
 		return err
 	}
 	var out strings.Builder
@@ -39,7 +41,7 @@
 	deployments := enginemodel.Deployments(1)
 	results := make([][]*enginemodel.Result, len(deployments))
 	for i, d := range deployments {
-		results[i] = pool(d, enginemodel.Policies)
+		results[i] = runPooled(d, enginemodel.Policies)
 		fmt.Fprintf(&out, "## %s\n\n", d.Name)
 		writeTable(&out, enginemodel.Policies, results[i])
 		writeGoals(&out, results[i])
@@ -49,10 +51,10 @@
 	if err := writePlots(&out, deployments, results); err != nil {
 		return err
 	}
-	if err := writeDecisions(&out); err != nil {
+	if err := writeDecisionTimes(&out); err != nil {
 		return err
 	}
-	return os.WriteFile(page, []byte(out.String()), 0o644)
+	return os.WriteFile(outputFile, []byte(out.String()), 0o644)
 }
 
 const preface = `# Measurements of routing
@@ -81,23 +83,24 @@
 
 `
 
-// pool runs every policy with every seed.
-func pool(c enginemodel.Config, policies []enginemodel.Policy) []*enginemodel.Result {
-	runs := make([][seeds]*enginemodel.Result, len(policies))
-	limit := make(chan struct{}, parallel)
-	var wait sync.WaitGroup
+// runPooled runs every policy with every seed and merges the results of each
+// policy.
+func runPooled(c enginemodel.Config, policies []enginemodel.Policy) []*enginemodel.Result {
+	runs := make([][seedCount]*enginemodel.Result, len(policies))
+	slots := make(chan struct{}, maxParallelRuns)
+	var wg sync.WaitGroup
 	for i, p := range policies {
-		for seed := range seeds {
-			wait.Go(func() {
-				limit <- struct{}{}
-				defer func() { <-limit }()
+		for seed := range seedCount {
+			wg.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				seeded := c
 				seeded.Seed = uint64(seed + 1)
 				runs[i][seed] = enginemodel.Run(seeded, p)
 			})
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 	pooled := make([]*enginemodel.Result, len(policies))
 	for i := range runs {
 		pooled[i] = runs[i][0]
@@ -120,17 +123,18 @@
 
 func milliseconds(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
 
-// Places of the policies in enginemodel.Policies.
+// Indexes of policies in enginemodel.Policies.
 const (
-	leastOutstanding = 1
-	oracle           = 3
-	cuminwing        = 4
+	leastOutstandingIndex = 1
+	oracleIndex           = 3
+	cuminwingIndex        = 4
 )
 
-// writeGoals compares with the required values of the design page.
+// writeGoals compares the results with the values that the design document
+// requires.
 func writeGoals(out *strings.Builder, results []*enginemodel.Result) {
-	least, best, ours := results[leastOutstanding].Measures(), results[oracle].Measures(), results[cuminwing].Measures()
-	goal := func(name string, value, limit float64, met bool) {
+	least, best, ours := results[leastOutstandingIndex].Measures(), results[oracleIndex].Measures(), results[cuminwingIndex].Measures()
+	writeGoal := func(name string, value, limit float64, met bool) {
 		verdict := "met"
 		if !met {
 			verdict = "**not met**"
@@ -139,21 +143,22 @@
 	}
 	ratio := func(a, b time.Duration) float64 { return float64(a) / float64(b) }
 	out.WriteString("| goal | cuminwing | required | |\n|---|---|---|---|\n")
-	goal("hit rate over the oracle's, at least", ours.HitRate/best.HitRate, 0.95, ours.HitRate >= 0.95*best.HitRate)
-	goal("p99 over least outstanding, at most", ratio(ours.P99, least.P99), 0.5, 2*ours.P99 <= least.P99)
-	goal("p99 over the oracle's, at most", ratio(ours.P99, best.P99), 1.2, ratio(ours.P99, best.P99) <= 1.2)
-	goal("waste, under", ours.Waste, 0.05, ours.Waste < 0.05)
-	goal("worst workspace over median, at most", ours.WorstWorkspace, 1.15, ours.WorstWorkspace <= 1.15)
+	writeGoal("hit rate over the oracle's, at least", ours.HitRate/best.HitRate, 0.95, ours.HitRate >= 0.95*best.HitRate)
+	writeGoal("p99 over least outstanding, at most", ratio(ours.P99, least.P99), 0.5, 2*ours.P99 <= least.P99)
+	writeGoal("p99 over the oracle's, at most", ratio(ours.P99, best.P99), 1.2, ratio(ours.P99, best.P99) <= 1.2)
+	writeGoal("waste, under", ours.Waste, 0.05, ours.Waste < 0.05)
+	writeGoal("worst workspace over median, at most", ours.WorstWorkspace, 1.15, ours.WorstWorkspace <= 1.15)
 	fmt.Fprintf(out, "\nThe oracle's p99 is %.2f of that of least outstanding, its worst workspace %.2f. Blocks are evicted after %.1f s without use.\n\n",
 		ratio(best.P99, least.P99), best.WorstWorkspace, ours.EvictionAge.Seconds())
 }
 
 func writeParts(out *strings.Builder, c enginemodel.Config) {
 	fmt.Fprintf(out, "## Parts of the picker (%s)\n\n", c.Name)
-	writeTable(out, enginemodel.Parts, pool(c, enginemodel.Parts))
+	writeTable(out, enginemodel.Parts, runPooled(c, enginemodel.Parts))
 }
 
-// writeVariants shows how the picker does under worse conditions.
+// writeVariants compares the policies under changed conditions, most of them
+// worse than those of base.
 func writeVariants(out *strings.Builder, base enginemodel.Config) {
 	fmt.Fprintf(out, "## Conditions (%s)\n\n", base.Name)
 	for _, v := range []struct {
@@ -172,10 +177,10 @@
 	} {
 		changed := base
 		v.change(&changed)
-		policies := []enginemodel.Policy{enginemodel.Policies[leastOutstanding], enginemodel.Policies[oracle], enginemodel.Policies[cuminwing]}
+		policies := []enginemodel.Policy{enginemodel.Policies[leastOutstandingIndex], enginemodel.Policies[oracleIndex], enginemodel.Policies[cuminwingIndex]}
 		fmt.Fprintf(out, "%s:\n\n", v.name)
-		writeTable(out, policies, pool(changed, policies))
+		writeTable(out, policies, runPooled(changed, policies))
 	}
 }
 
-func plotFile(name string) string { return filepath.Join(folder, name+".svg") }
+func plotFile(name string) string { return filepath.Join(plotFolder, name+".svg") }
--- a/internal/cmd/measure/plots.go
+++ b/internal/cmd/measure/plots.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // writes SVG
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the SVG output format
 
 	"github.com/cuminwing/cuminwing/internal/enginemodel"
 )
@@ -18,8 +18,9 @@
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 4 * vg.Inch
 	barWidth   = 14
-	// linePoints bounds the size of the SVG.
-	linePoints = 200
+	// distributionPoints is the number of points per line, which limits the
+	// size of the SVG.
+	distributionPoints = 200
 )
 
 func writePlots(out *strings.Builder, deployments []enginemodel.Config, results [][]*enginemodel.Result) error {
@@ -80,7 +81,7 @@
 	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	p.Y.Label.Text = "part of the requests"
 	for i, policy := range enginemodel.Policies {
-		line, err := plotter.NewLine(distribution(results[i].FirstTokens()))
+		line, err := plotter.NewLine(cumulativeDistribution(results[i].FirstTokens()))
 		if err != nil {
 			return err
 		}
@@ -92,10 +93,10 @@
 	return p.Save(plotWidth, plotHeight, plotFile("distribution"))
 }
 
-func distribution(samples []time.Duration) plotter.XYs {
-	points := make(plotter.XYs, linePoints)
+func cumulativeDistribution(samples []time.Duration) plotter.XYs {
+	points := make(plotter.XYs, distributionPoints)
 	for i := range points {
-		at := i * (len(samples) - 1) / (linePoints - 1)
+		at := i * (len(samples) - 1) / (distributionPoints - 1)
 		points[i].X = samples[at].Seconds() * 1000
 		points[i].Y = float64(at) / float64(len(samples)-1)
 	}
