--- a/internal/cli/certs_test.go
+++ b/internal/cli/certs_test.go
@@ -10,8 +10,9 @@
 	"github.com/cuminwing/cuminwing/internal/settings"
 )
 
-// Guards against certificates that the daemon refuses.
-func TestMadeCertificatesLoad(t *testing.T) {
+// Guards against generated certificates that the daemon rejects, and against
+// VM names without a zone.
+func TestGeneratedCertificatesLoad(t *testing.T) {
 	folder := t.TempDir()
 	var out, errOut bytes.Buffer
 	if code := Run([]string{"certs", "--folder", folder, "muc-a/vm-1", "muc-b/vm-2"}, &out, &errOut); code != ExitOK {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli implements the operators' tool. Each command has a file of its
-// own and returns one of the exit codes below.
+// Package cli implements the operators' command-line tool. Each command has its
+// own file and returns one of the exit codes below.
 package cli
 
 import (
@@ -9,39 +9,42 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Exit codes, stable for scripts.
+// Exit codes. Scripts depend on their values, so they must not change.
 const (
 	ExitOK = 0
-	// ExitFailed means that the command could not do its work.
+	// ExitFailed means that the command failed.
 	ExitFailed = 1
-	// ExitRefused means that the input was refused.
+	// ExitRefused means that the input was rejected as invalid.
 	ExitRefused = 2
-	// ExitConflict means that another edit came first.
+	// ExitConflict means that another edit was committed first.
 	ExitConflict = 3
-	// ExitPartial means that the work was done but not confirmed everywhere.
+	// ExitPartial means that the command succeeded, but not every VM or zone
+	// has confirmed it.
 	ExitPartial = 4
-	// ExitPromiseBroken means that a check of the load tool failed.
-	ExitPromiseBroken = 5
+	// ExitCheckFailed means that the load command found a violated guarantee.
+	ExitCheckFailed = 5
 )
 
-// command runs one subcommand and returns its exit code.
+// command executes one subcommand and returns its exit code.
 type command func(out, errOut io.Writer) int
 
-// registry maps full command names to their implementation.
+// registry maps full command names to their implementations.
 type registry struct {
 	app      *kingpin.Application
 	commands map[string]command
-	// connection holds the flags for commands that call a VM.
-	connection *connection
-	// report is the parent of the reports.
-	report *kingpin.CmdClause
+	// flags holds the flags of the commands that call a VM.
+	flags *connectionFlags
+	// reports is the parent of the report commands, nil until the first one
+	// is added.
+	reports *kingpin.CmdClause
 }
 
 func (r *registry) add(c *kingpin.CmdClause, run command) {
 	r.commands[c.FullCommand()] = run
 }
 
-// longHelpTemplate adds the long help of a command, which has the examples.
+// longHelpTemplate appends the long help of a command, which contains its
+// example, to the usage.
 const longHelpTemplate = `{{with .Context.SelectedCommand}}{{with .HelpLong}}{{.}}
 {{end}}{{end}}`
 
@@ -59,15 +62,16 @@
 	return r.commands[name](out, errOut)
 }
 
-// newRegistry returns all commands. Nothing runs before a command is called.
+// newRegistry registers all commands without executing any of them.
 func newRegistry(out, errOut io.Writer) *registry {
 	app := kingpin.New("cuminwing", "Operates a cuminwing service.")
 	app.UsageWriter(out).ErrorWriter(errOut).UsageTemplate(kingpin.DefaultUsageTemplate + longHelpTemplate)
-	// kingpin expects that this function does not return: after --help or a
-	// completion script it would go on parsing and print the usage.
+	// kingpin requires that this function does not return: otherwise, after
+	// --help or a completion script, it would continue parsing and print the
+	// usage as well.
 	app.Terminate(func(code int) { panic(exitRequest(code)) })
-	r := &registry{app: app, commands: make(map[string]command), connection: &connection{}}
-	addConnectionFlags(app, r.connection)
+	r := &registry{app: app, commands: make(map[string]command), flags: &connectionFlags{}}
+	addConnectionFlags(app, r.flags)
 	addConfig(r)
 	addKeys(r)
 	addStatus(r)
@@ -81,11 +85,12 @@
 	return r
 }
 
-// exitRequest is the exit code that kingpin asks for.
+// exitRequest is the panic value that carries an exit code out of kingpin.
 type exitRequest int
 
-// parse returns the name of the command, or the exit code if kingpin has done
-// all work itself; otherwise exit is negative.
+// parse returns the full name of the command to execute. If kingpin handled
+// the command line itself, as for --help, exit is its exit code; otherwise exit
+// is negative.
 func parse(app *kingpin.Application, args []string) (name string, exit int, err error) {
 	exit = -1
 	defer func() {
@@ -101,8 +106,8 @@
 	return name, exit, err
 }
 
-func addConnectionFlags(app *kingpin.Application, c *connection) {
+func addConnectionFlags(app *kingpin.Application, f *connectionFlags) {
 	app.Flag("server", "Admin address of a VM as IP:port; several, separated by commas, are tried in turn.").
-		Envar("CUMINWING_SERVER").PlaceHolder("IP:PORT").StringVar(&c.servers)
-	app.Flag("output", "Output format: table or json.").Default(outputTable).EnumVar(&c.output, outputTable, outputJSON)
+		Envar("CUMINWING_SERVER").PlaceHolder("IP:PORT").StringVar(&f.servers)
+	app.Flag("output", "Output format: table or json.").Default(outputTable).EnumVar(&f.output, outputTable, outputJSON)
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Guards the whole path: a caller's keyed, streamed request must reach an
-// engine and come back complete.
-func TestDemoStreamsACompleteAnswer(t *testing.T) {
+// Tests the path end to end: a streaming request with a caller key must reach
+// an engine, and the response must be complete.
+func TestDemoStreamsCompleteResponse(t *testing.T) {
 	var out, errOut bytes.Buffer
 	if code := Run([]string{"demo"}, &out, &errOut); code != ExitOK {
 		t.Fatalf("exit code %d: %s", code, errOut.String())
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -19,35 +19,38 @@
 )
 
 const (
-	// callTimeout bounds one call. A VM answers an edit within 10 s even if
-	// zones are cut off.
+	// callTimeout limits one call. It exceeds the 10 s within which a VM
+	// responds to an edit even if zones are unreachable.
 	callTimeout = 12 * time.Second
-	// maxAttempts and resendPause bound the resends after lost answers.
+	// maxAttempts limits how often a call is sent if responses are lost.
 	maxAttempts = 5
-	resendPause = 300 * time.Millisecond
-	editIDBytes = 12
+	// initialRetryDelay is the delay before the first retry; it doubles with
+	// every further retry.
+	initialRetryDelay = 300 * time.Millisecond
+	editIDBytes       = 12
 )
 
-// connection holds the flags that all commands of a running service share.
-type connection struct {
+// connectionFlags holds the flags shared by all commands that talk to a running
+// service.
+type connectionFlags struct {
 	servers string
 	output  string
 }
 
-// client calls the VMs that --server names.
+// client calls the VMs listed in --server.
 type client struct {
 	services []adminv1.AdminService
-	// addresses are the admin addresses, in the same order.
+	// addresses are the admin addresses, in the order of services.
 	addresses []string
 	output    string
 }
 
-func (c *connection) client() (*client, error) {
-	if c.servers == "" {
+func (flags *connectionFlags) newClient() (*client, error) {
+	if flags.servers == "" {
 		return nil, errors.New("no VM is named; use --server or CUMINWING_SERVER")
 	}
-	out := &client{output: c.output}
-	for _, address := range strings.Split(c.servers, ",") {
+	out := &client{output: flags.output}
+	for _, address := range strings.Split(flags.servers, ",") {
 		address = strings.TrimSpace(address)
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return nil, fmt.Errorf("%q is not an IP address and port", address)
@@ -58,10 +61,10 @@
 	return out, nil
 }
 
-// command returns a command that runs f with a client.
-func (c *connection) command(f func(*client, io.Writer, io.Writer) (int, error)) command {
+// command returns a command that calls f with a new client.
+func (flags *connectionFlags) command(f func(*client, io.Writer, io.Writer) (int, error)) command {
 	return func(out, errOut io.Writer) int {
-		cl, err := c.client()
+		cl, err := flags.newClient()
 		if err != nil {
 			fmt.Fprintln(errOut, "cuminwing:", err)
 			return ExitRefused
@@ -75,34 +78,36 @@
 	}
 }
 
-// call runs f until it is answered. It goes round the VMs, so that the loss of
-// one does not stop the operator. The caller makes sure that a resend is
-// harmless: mutating calls carry the same edit ID each time.
-func call[T any](c *client, f func(context.Context, adminv1.AdminService) (T, error)) (T, error) {
-	var answer T
+// callWithRetry calls f until it succeeds, fails with an error that is not
+// retryable, or maxAttempts is reached. It rotates through the VMs, so that an
+// operator can still work if one VM is down. Callers must ensure that f is
+// idempotent: mutating calls carry the same edit ID on every attempt.
+func callWithRetry[T any](c *client, f func(context.Context, adminv1.AdminService) (T, error)) (T, error) {
+	var resp T
 	var err error
 	for attempt := range maxAttempts {
 		if attempt > 0 {
-			time.Sleep(resendPause << (attempt - 1))
+			time.Sleep(initialRetryDelay << (attempt - 1))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-		answer, err = f(ctx, c.services[attempt%len(c.services)])
+		resp, err = f(ctx, c.services[attempt%len(c.services)])
 		cancel()
-		if err == nil || !resendable(err) {
-			return answer, err
+		if err == nil || !retryable(err) {
+			return resp, err
 		}
 	}
-	return answer, fmt.Errorf("no answer after %d attempts: %w", maxAttempts, err)
+	return resp, fmt.Errorf("no answer after %d attempts: %w", maxAttempts, err)
 }
 
-// resendable reports whether the outcome may be unknown or the VM unable. A
-// call that never got an HTTP answer is an internal error to twirp.
-func resendable(err error) bool {
-	var refused twirp.Error
-	if !errors.As(err, &refused) {
+// retryable reports whether the outcome of the call may be unknown or the VM
+// could not handle it. Twirp reports a call without an HTTP response as an
+// internal error.
+func retryable(err error) bool {
+	var twirpErr twirp.Error
+	if !errors.As(err, &twirpErr) {
 		return true
 	}
-	switch refused.Code() {
+	switch twirpErr.Code() {
 	case twirp.Unavailable, twirp.DeadlineExceeded, twirp.Internal, twirp.Unknown, twirp.Canceled, twirp.Aborted:
 		return true
 	}
@@ -111,12 +116,12 @@
 
 func newEditID() string {
 	var buf [editIDBytes]byte
-	// Never fails, as documented by crypto/rand.
+	// crypto/rand documents that Read never returns an error.
 	_, _ = rand.Read(buf[:])
 	return "edit-" + hex.EncodeToString(buf[:])
 }
 
-// operatorName is the login name, for the history.
+// operatorName returns the login name, which the history records with an edit.
 func operatorName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -21,7 +21,7 @@
 	addConfigHistory(r, group)
 }
 
-// example adds an example to the help of a command.
+// example sets the long help of a command, with an example at its end.
 func example(c *kingpin.CmdClause, help, line string) *kingpin.CmdClause {
 	return c.HelpLong(help + "\n\nExample:\n  " + line)
 }
@@ -38,54 +38,56 @@
 	return f, nil
 }
 
-// inForce returns the sections that the VM has in force, by name.
-func (c *client) inForce(sections ...string) (uint64, map[config.Section]*configv1.Section, error) {
-	answer, err := call(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.GetConfigResponse, error) {
+// fetchSections returns the revision and the sections, by name, of the document
+// in force on the VM. Without arguments it fetches all sections.
+func (c *client) fetchSections(sections ...string) (uint64, map[config.Section]*configv1.Section, error) {
+	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.GetConfigResponse, error) {
 		return s.GetConfig(ctx, &adminv1.GetConfigRequest{Sections: sections})
 	})
 	if err != nil {
 		return 0, nil, err
 	}
 	out := make(map[config.Section]*configv1.Section)
-	for _, s := range answer.GetDocument().GetSections() {
+	for _, s := range resp.GetDocument().GetSections() {
 		out[config.Section(s.GetName())] = s
 	}
-	return answer.GetDocument().GetRevision(), out, nil
+	return resp.GetDocument().GetRevision(), out, nil
 }
 
-// change is what a document file changes in one section.
-type change struct {
+// sectionChange is the change that a document file makes to one section.
+type sectionChange struct {
 	section config.Section
 	base    uint64
-	// current is the section in force, nil for none.
+	// current is the section in force, nil if there is none.
 	current *configv1.Section
 	patch   []byte
 	from    config.Contents
 	to      config.Contents
 }
 
-// changesOf compares a file with what is in force. Sections that the operator
-// left as they were read are no changes, whatever happened to them since.
-func changesOf(f *config.File, current map[config.Section]*configv1.Section) ([]change, error) {
-	var changes []change
+// computeChanges compares a document file with the sections in force. It skips
+// sections that the operator has not edited since reading them, even if they
+// were changed on the server in the meantime.
+func computeChanges(f *config.File, current map[config.Section]*configv1.Section) ([]sectionChange, error) {
+	var changes []sectionChange
 	for _, name := range config.Sections {
-		want, present := f.Sections[name]
+		newContents, present := f.Sections[name]
 		if !present {
 			continue
 		}
 		base, hasBase := f.Base[name]
-		if hasBase && base.SHA256 == want.Digest() {
+		if hasBase && base.SHA256 == newContents.Digest() {
 			continue
 		}
-		have, err := config.ParseContents(contentsOf(current[name]))
+		currentContents, err := config.ParseContents(sectionContents(current[name]))
 		if err != nil {
 			return nil, fmt.Errorf("section %s of the VM: %w", name, err)
 		}
-		patch := have.Diff(want)
+		patch := currentContents.Diff(newContents)
 		if patch == nil {
 			continue
 		}
-		c := change{section: name, current: current[name], patch: patch, from: have, to: want}
+		c := sectionChange{section: name, current: current[name], patch: patch, from: currentContents, to: newContents}
 		c.base = current[name].GetRevision()
 		if hasBase {
 			c.base = base.Revision
@@ -95,15 +97,16 @@
 	return changes, nil
 }
 
-func contentsOf(s *configv1.Section) []byte {
+func sectionContents(s *configv1.Section) []byte {
 	if s == nil {
 		return []byte("{}")
 	}
 	return s.GetContents()
 }
 
-// checkMerged validates the document that the file would give.
-func checkMerged(f *config.File, current map[config.Section]*configv1.Section) error {
+// validateMerged validates the document that results from applying the file to
+// the current sections.
+func validateMerged(f *config.File, current map[config.Section]*configv1.Section) error {
 	merged := &config.File{Sections: make(map[config.Section]config.Contents)}
 	for name, section := range current {
 		contents, err := config.ParseContents(section.GetContents())
--- a/internal/cli/config_apply.go
+++ b/internal/cli/config_apply.go
@@ -20,27 +20,27 @@
 	comment := c.Flag("comment", "Reason, for the history.").String()
 	editID := c.Flag("edit-id", "ID of the edit, to resend one whose answer was lost; made anew by default.").String()
 	overwrite := c.Flag("overwrite", "Accept a file that does not note the state it was read from.").Bool()
-	r.add(c, r.connection.command(func(cl *client, out, errOut io.Writer) (int, error) {
-		return cl.applyFile(*file, applyOptions{*comment, *editID, *overwrite}, out, errOut)
+	r.add(c, r.flags.command(func(cl *client, out, errOut io.Writer) (int, error) {
+		return cl.applyFile(*file, editOptions{*comment, *editID, *overwrite}, out, errOut)
 	}))
 }
 
-type applyOptions struct {
+type editOptions struct {
 	comment   string
 	editID    string
 	overwrite bool
 }
 
-func (c *client) applyFile(name string, o applyOptions, out, errOut io.Writer) (int, error) {
+func (c *client) applyFile(name string, o editOptions, out, errOut io.Writer) (int, error) {
 	f, err := readFile(name)
 	if err != nil {
 		return ExitRefused, err
 	}
-	_, current, err := c.inForce()
+	_, current, err := c.fetchSections()
 	if err != nil {
 		return ExitFailed, err
 	}
-	changes, err := changesOf(f, current)
+	changes, err := computeChanges(f, current)
 	if err != nil {
 		return ExitFailed, err
 	}
@@ -48,18 +48,19 @@
 		fmt.Fprintln(errOut, "the file changes nothing")
 		return ExitOK, nil
 	}
-	if code, err := checkBases(f, changes, o.overwrite); err != nil {
+	if code, err := checkBaseRevisions(f, changes, o.overwrite); err != nil {
 		return code, err
 	}
-	if err := checkMerged(f, current); err != nil {
+	if err := validateMerged(f, current); err != nil {
 		return ExitRefused, err
 	}
-	return c.send(newEdit(changes, o), out, errOut)
+	return c.sendEdit(newEdit(changes, o), out, errOut)
 }
 
-// checkBases makes sure that the patches were computed against the state that
-// the file was read from; the control log checks the rest.
-func checkBases(f *config.File, changes []change, overwrite bool) (int, error) {
+// checkBaseRevisions verifies that the patches were computed against the
+// revisions that the file was read from. Edits committed after this check are
+// detected by the control log.
+func checkBaseRevisions(f *config.File, changes []sectionChange, overwrite bool) (int, error) {
 	for _, ch := range changes {
 		_, hasBase := f.Base[ch.section]
 		if !hasBase && !overwrite && ch.current.GetRevision() > 0 {
@@ -76,7 +77,7 @@
 	return ExitOK, nil
 }
 
-func newEdit(changes []change, o applyOptions) *configv1.Edit {
+func newEdit(changes []sectionChange, o editOptions) *configv1.Edit {
 	if o.editID == "" {
 		o.editID = newEditID()
 	}
@@ -91,41 +92,41 @@
 	return edit
 }
 
-// send commits an edit, with the same ID after lost answers, and prints the
-// outcome.
-func (c *client) send(edit *configv1.Edit, out, errOut io.Writer) (int, error) {
-	answer, err := call(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.ApplyConfigResponse, error) {
+// sendEdit commits an edit and prints the outcome. If a response is lost, it
+// resends the edit with the same ID.
+func (c *client) sendEdit(edit *configv1.Edit, out, errOut io.Writer) (int, error) {
+	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.ApplyConfigResponse, error) {
 		return s.ApplyConfig(ctx, &adminv1.ApplyConfigRequest{Edit: edit})
 	})
 	if err != nil {
 		return ExitFailed, fmt.Errorf("edit %s: its outcome is unknown, see \"config history\": %w", edit.GetId(), err)
 	}
 	if c.output == outputJSON {
-		if err := printMessage(out, answer); err != nil {
+		if err := printMessage(out, resp); err != nil {
 			return ExitFailed, err
 		}
-		return outcomeCode(answer), nil
+		return outcomeExitCode(resp), nil
 	}
-	printOutcome(answer, out, errOut)
-	return outcomeCode(answer), nil
+	printOutcome(resp, out, errOut)
+	return outcomeExitCode(resp), nil
 }
 
-func outcomeCode(answer *adminv1.ApplyConfigResponse) int {
-	switch answer.GetResult().GetOutcome() {
+func outcomeExitCode(resp *adminv1.ApplyConfigResponse) int {
+	switch resp.GetResult().GetOutcome() {
 	case configv1.Outcome_OUTCOME_ACCEPTED:
-		return reachCode(answer.GetZones())
+		return zonesExitCode(resp.GetZones())
 	case configv1.Outcome_OUTCOME_CONFLICT:
 		return ExitConflict
 	}
 	return ExitRefused
 }
 
-func printOutcome(answer *adminv1.ApplyConfigResponse, out, errOut io.Writer) {
-	result := answer.GetResult()
+func printOutcome(resp *adminv1.ApplyConfigResponse, out, errOut io.Writer) {
+	result := resp.GetResult()
 	switch result.GetOutcome() {
 	case configv1.Outcome_OUTCOME_ACCEPTED:
 		fmt.Fprintf(out, "edit %s accepted at revision %d\n", result.GetEditId(), result.GetRevision())
-		printReach(out, answer.GetZones(), "in force")
+		printZones(out, resp.GetZones(), "in force")
 	case configv1.Outcome_OUTCOME_CONFLICT:
 		for _, c := range result.GetConflicts() {
 			fmt.Fprintf(errOut, "conflict: section %s was changed to revision %d by edit %s\n", c.GetSection(), c.GetRevision(), c.GetEditId())
--- a/internal/cli/config_diff.go
+++ b/internal/cli/config_diff.go
@@ -17,7 +17,7 @@
 	example(c, "Compares a document file with the configuration in force and validates the merged document. With --output json it prints the merge patch of each section.",
 		"cuminwing config diff service.json --server 10.0.0.1:7005")
 	file := c.Arg("file", "Document file.").Required().String()
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.diff(*file, out) }))
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.diff(*file, out) }))
 }
 
 func (c *client) diff(name string, out io.Writer) (int, error) {
@@ -25,18 +25,18 @@
 	if err != nil {
 		return ExitRefused, err
 	}
-	_, current, err := c.inForce()
+	_, current, err := c.fetchSections()
 	if err != nil {
 		return ExitFailed, err
 	}
-	changes, err := changesOf(f, current)
+	changes, err := computeChanges(f, current)
 	if err != nil {
 		return ExitFailed, err
 	}
 	if err := c.printChanges(changes, out); err != nil {
 		return ExitFailed, err
 	}
-	if err := checkMerged(f, current); err != nil {
+	if err := validateMerged(f, current); err != nil {
 		return ExitRefused, err
 	}
 	for _, ch := range changes {
@@ -47,7 +47,7 @@
 	return ExitOK, nil
 }
 
-func (c *client) printChanges(changes []change, out io.Writer) error {
+func (c *client) printChanges(changes []sectionChange, out io.Writer) error {
 	if c.output == outputJSON {
 		patches := make(map[config.Section]json.RawMessage)
 		for _, ch := range changes {
@@ -62,14 +62,14 @@
 			return err
 		}
 		for _, name := range slices.Sorted(maps.Keys(patch)) {
-			t.row(string(ch.section), name, describe(ch, name, patch[name]))
+			t.row(string(ch.section), name, describeChange(ch, name, patch[name]))
 		}
 	}
 	t.flush()
 	return nil
 }
 
-func describe(ch change, name string, patch json.RawMessage) string {
+func describeChange(ch sectionChange, name string, patch json.RawMessage) string {
 	_, before := ch.from[name]
 	_, after := ch.to[name]
 	switch {
@@ -81,7 +81,7 @@
 	return "changed " + string(patch)
 }
 
-func conflictError(ch change) error {
+func conflictError(ch sectionChange) error {
 	return fmt.Errorf("section %s was changed to revision %d by edit %s; the file was read at revision %d",
 		ch.section, ch.current.GetRevision(), ch.current.GetEditId(), ch.base)
 }
--- a/internal/cli/config_get.go
+++ b/internal/cli/config_get.go
@@ -15,7 +15,7 @@
 		"cuminwing config get --section rates > rates.json")
 	sections := c.Flag("section", "Print only this section; may be repeated.").Strings()
 	defaults := c.Flag("defaults", "Write out the defaults of fields that are not set. Such a file notes no state and is not meant to be applied.").Bool()
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) {
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) {
 		return cl.printConfig(*sections, *defaults, out)
 	}))
 }
@@ -26,7 +26,7 @@
 			return ExitRefused, errors.New(name + " is not a section of the document")
 		}
 	}
-	_, current, err := c.inForce(names...)
+	_, current, err := c.fetchSections(names...)
 	if err != nil {
 		return ExitFailed, err
 	}
@@ -52,7 +52,8 @@
 	return ExitOK, err
 }
 
-// withDefaults returns the sections of f with all defaults.
+// withDefaults returns the sections of f with the defaults of unset fields
+// filled in.
 func withDefaults(f *config.File) (*config.File, error) {
 	var d config.Document
 	for name, contents := range f.Sections {
--- a/internal/cli/config_history.go
+++ b/internal/cli/config_history.go
@@ -14,17 +14,17 @@
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
-const defaultHistory = "20"
+const defaultHistoryLimit = "20"
 
 func addConfigHistory(r *registry, group *kingpin.CmdClause) {
 	c := group.Command("history", "Lists the latest accepted edits.")
 	example(c, "Lists accepted edits, latest first. With --output json it prints their merge patches too.",
 		"cuminwing config history --limit 5 --server 10.0.0.1:7005")
-	limit := c.Flag("limit", "Largest number of edits; 0 for all that the VM keeps.").Default(defaultHistory).Uint32()
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.history(*limit, out) }))
+	limit := c.Flag("limit", "Largest number of edits; 0 for all that the VM keeps.").Default(defaultHistoryLimit).Uint32()
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.history(*limit, out) }))
 }
 
-// historyEntry is one edit in JSON output.
+// historyEntry is the JSON output for one edit.
 type historyEntry struct {
 	Revision uint64                     `json:"revision"`
 	Time     time.Time                  `json:"time"`
@@ -35,17 +35,17 @@
 }
 
 func (c *client) history(limit uint32, out io.Writer) (int, error) {
-	answer, err := call(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.HistoryResponse, error) {
+	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.HistoryResponse, error) {
 		return s.History(ctx, &adminv1.HistoryRequest{Limit: limit})
 	})
 	if err != nil {
 		return ExitFailed, err
 	}
 	if c.output == outputJSON {
-		return ExitOK, printJSON(out, historyEntries(answer.GetChanges()))
+		return ExitOK, printJSON(out, historyEntries(resp.GetChanges()))
 	}
 	t := newTable(out, "REVISION", "TIME", "OPERATOR", "SECTIONS", "EDIT", "COMMENT")
-	for _, change := range answer.GetChanges() {
+	for _, change := range resp.GetChanges() {
 		edit := change.GetEdit()
 		t.row(fmt.Sprint(change.GetRevision()), time.UnixMilli(change.GetTimeMs()).UTC().Format(time.RFC3339),
 			edit.GetOperator(), strings.Join(sectionNames(edit), ","), edit.GetId(), edit.GetComment())
--- a/internal/cli/config_validate.go
+++ b/internal/cli/config_validate.go
@@ -15,11 +15,11 @@
 	example(c, "Checks a whole document, or each section of a file that holds only some. All problems are printed at once.",
 		"cuminwing config validate service.json")
 	file := c.Arg("file", "Document to check.").Required().String()
-	r.add(c, func(out, errOut io.Writer) int { return validateDocument(*file, r.connection.output, out, errOut) })
+	r.add(c, func(out, errOut io.Writer) int { return validateDocument(*file, r.flags.output, out, errOut) })
 }
 
 func validateDocument(name, output string, out, errOut io.Writer) int {
-	whole, err := checkFile(name)
+	whole, err := validateFile(name)
 	var invalid *config.InvalidError
 	if output == outputJSON && (err == nil || errors.As(err, &invalid)) {
 		problems := []config.Problem{}
@@ -40,7 +40,7 @@
 	return ExitOK
 }
 
-func checkFile(name string) (whole bool, err error) {
+func validateFile(name string) (whole bool, err error) {
 	f, err := readFile(name)
 	if err != nil {
 		return false, err
--- a/internal/cli/daemonflags/daemonflags.go
+++ b/internal/cli/daemonflags/daemonflags.go
@@ -3,15 +3,15 @@
 
 import "github.com/alecthomas/kingpin/v2"
 
-// Flags are the values of a parsed command line.
+// Flags holds the values of the parsed command line.
 type Flags struct {
-	// Settings is the settings file of this VM.
+	// Settings is the path of this VM's settings file.
 	Settings string
-	// Check asks for a check of the settings only.
+	// Check makes the daemon validate the settings and exit.
 	Check bool
 }
 
-// New returns the application and the flags that its Parse fills in.
+// New returns the command-line parser and the flags that its Parse method sets.
 func New() (*kingpin.Application, *Flags) {
 	f := &Flags{}
 	app := kingpin.New("cuminwingd", "Routes language-model requests with long shared prompts.")
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	demoTimeout = 30 * time.Second
-	demoPoll    = 50 * time.Millisecond
-	demoModel   = "gutachter"
-	demoVersion = "v1"
+	demoTimeout       = 30 * time.Second
+	demoRetryInterval = 50 * time.Millisecond
+	demoModel         = "gutachter"
+	demoVersion       = "v1"
 )
 
 func addDemo(r *registry) {
@@ -43,12 +43,12 @@
 	if err != nil {
 		return err
 	}
-	fleet, err := startFleet(demoDocument(key), demoEngines(), daemon.Options{})
+	cluster, err := startCluster(demoDocument(key), demoEngines(), daemon.Options{})
 	if err != nil {
 		return err
 	}
-	defer fleet.close()
-	return streamDemo(ctx, fleet.callerURLs()[0], key, prompt, out)
+	defer cluster.close()
+	return streamDemoRequest(ctx, cluster.callerURLs()[0], key, prompt, out)
 }
 
 func demoDocument(key string) config.Document {
@@ -67,7 +67,7 @@
 func demoEngines() []standin.EngineOptions {
 	engine := standin.EngineOptions{
 		Region: "oberbayern", Model: demoModel, Version: demoVersion,
-		TokenInterval: engineTokenInterval, BatchSlots: 8,
+		TokenInterval: demoTokenInterval, BatchSlots: 8,
 	}
 	a, b := engine, engine
 	a.ID, a.Zone = "engine-1", "muc-a"
@@ -75,28 +75,29 @@
 	return []standin.EngineOptions{a, b}
 }
 
-// streamDemo retries while the service is starting: engines announce
-// themselves and the rate buckets fill from empty.
-func streamDemo(ctx context.Context, base, key, prompt string, out io.Writer) error {
+// streamDemoRequest sends the demo request and prints the response. It retries
+// while the service starts up: until engines have announced themselves and the
+// rate buckets, which start empty, have filled.
+func streamDemoRequest(ctx context.Context, base, key, prompt string, out io.Writer) error {
 	for {
-		resp, err := demoRequest(ctx, base, key, prompt)
+		resp, err := sendDemoRequest(ctx, base, key, prompt)
 		if err != nil {
 			return err
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 			defer resp.Body.Close()
-			return printDemo(resp, out)
+			return printStream(resp, out)
 		}
 		resp.Body.Close()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(demoPoll):
+		case <-time.After(demoRetryInterval):
 		}
 	}
 }
 
-func demoRequest(ctx context.Context, base, key, prompt string) (*http.Response, error) {
+func sendDemoRequest(ctx context.Context, base, key, prompt string) (*http.Response, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":20,"messages":[{"role":"user","content":%q}]}`, demoModel, prompt)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -107,7 +108,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-func printDemo(resp *http.Response, out io.Writer) error {
+func printStream(resp *http.Response, out io.Writer) error {
 	if resp.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(resp.Body)
 		return fmt.Errorf("status %d: %s", resp.StatusCode, body)
@@ -121,7 +122,7 @@
 		}
 	}
 	if !complete {
-		return fmt.Errorf("the stream is not complete")
+		return fmt.Errorf("response stream of the demo request ended without [DONE]")
 	}
 	return scanner.Err()
 }
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -12,14 +12,15 @@
 )
 
 var (
-	codeBlock   = regexp.MustCompile("(?ms)^```[a-z]*\n(.*?)^```")
-	commandLine = regexp.MustCompile(`^(?:\$ )?(?:[A-Z_]+=\S+ )*(?:go run )?(?:\S*/)?(cuminwingd?)(?: (.*))?$`)
-	word        = regexp.MustCompile(`"[^"]*"|'[^']*'|\S+`)
-	shellSign   = regexp.MustCompile(`^(\||[0-9]?>+|<|&|&&|;|#).*`)
+	codeBlock     = regexp.MustCompile("(?ms)^```[a-z]*\n(.*?)^```")
+	commandLine   = regexp.MustCompile(`^(?:\$ )?(?:[A-Z_]+=\S+ )*(?:go run )?(?:\S*/)?(cuminwingd?)(?: (.*))?$`)
+	shellWord     = regexp.MustCompile(`"[^"]*"|'[^']*'|\S+`)
+	shellOperator = regexp.MustCompile(`^(\||[0-9]?>+|<|&|&&|;|#).*`)
 )
 
-// Guards against pages with commands or flags that the programs do not have.
-func TestCommandLinesOfPagesParse(t *testing.T) {
+// Guards against documentation that uses commands or flags that the programs do
+// not have.
+func TestDocumentedCommandLinesParse(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/*.md")
 	if err != nil {
 		t.Fatal(err)
@@ -37,22 +38,23 @@
 					continue
 				}
 				found[m[1]]++
-				if err := parseLine(m[1], words(m[2])); err != nil {
+				if err := parseLine(m[1], splitWords(m[2])); err != nil {
 					t.Errorf("%s: %s: %v", page, line, err)
 				}
 			}
 		}
 	}
 	if found["cuminwing"] == 0 || found["cuminwingd"] == 0 {
-		t.Errorf("the pages have %v command lines, want some of each program", found)
+		t.Errorf("command lines found in the documentation: %v, want at least one of each program", found)
 	}
 }
 
-// words splits a line up to the first sign of the shell.
-func words(line string) []string {
+// splitWords splits a command line into words and stops at the first shell
+// operator or comment.
+func splitWords(line string) []string {
 	var out []string
-	for _, w := range word.FindAllString(line, -1) {
-		if shellSign.MatchString(w) {
+	for _, w := range shellWord.FindAllString(line, -1) {
+		if shellOperator.MatchString(w) {
 			break
 		}
 		out = append(out, strings.Trim(w, `"'`))
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,22 +12,24 @@
 	"time"
 )
 
-// maxLogLine bounds a line of a log file.
+// maxLogLine is the maximum length of a log line in bytes. A longer line makes
+// parsing fail.
 const maxLogLine = 1 << 20
 
-// beliefWindow is how long before a request the beliefs of its processes are
-// shown.
-const beliefWindow = 10 * time.Second
+// stateChangeWindow is how far before the first log line of a request the state
+// changes of the processes are included.
+const stateChangeWindow = 10 * time.Second
 
-// beliefs are the messages that change what a process believes. They explain
-// the outcome of a request that does not name them.
-var beliefs = map[string]bool{
+// stateChanges are the log messages that record a change in what a process
+// knows about its configuration, peers or targets. They explain the outcome of
+// requests whose own log lines do not mention the change.
+var stateChanges = map[string]bool{
 	"document in force": true, "targets changed": true, "core lost": true, "core regained": true,
 	"target regained": true, "target announced": true, "target left": true, "weights update": true,
 	"control log changed": true, "front started": true, "front stops": true, "settings reloaded": true,
 }
 
-// logLine is one line of one process.
+// logLine is one parsed log line of one process.
 type logLine struct {
 	file   string
 	time   time.Time
@@ -48,12 +50,12 @@
 			fmt.Fprintln(errOut, "cuminwing explain:", err)
 			return ExitFailed
 		}
-		course := explain(lines, *id)
-		if len(course) == 0 {
+		timeline := requestTimeline(lines, *id)
+		if len(timeline) == 0 {
 			fmt.Fprintf(errOut, "cuminwing explain: no line of request %s in %d lines\n", *id, len(lines))
 			return ExitFailed
 		}
-		for _, line := range course {
+		for _, line := range timeline {
 			fmt.Fprintln(out, line.text())
 		}
 		return ExitOK
@@ -67,22 +69,23 @@
 		if err != nil {
 			return nil, err
 		}
-		more, err := parseLog(filepath.Base(name), file)
-		// A file that was only read has nothing to lose when it is closed.
+		fileLines, err := parseLog(filepath.Base(name), file)
+		// The file was only read, so an error from Close loses no data.
 		_ = file.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		lines = append(lines, more...)
+		lines = append(lines, fileLines...)
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].time.Before(lines[j].time) })
 	return lines, nil
 }
 
-// parseLog reads JSON lines. What comes before the brace of a line is skipped,
-// and lines of other writers are left out.
-func parseLog(name string, from io.Reader) ([]logLine, error) {
-	scanner := bufio.NewScanner(from)
+// parseLog reads JSON log lines. It ignores any text before the first brace of
+// a line, and skips lines that are not JSON objects with a timestamp, because
+// other programs may write to the same file.
+func parseLog(name string, r io.Reader) ([]logLine, error) {
+	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLogLine)
 	var lines []logLine
 	for scanner.Scan() {
@@ -95,12 +98,12 @@
 		if json.Unmarshal([]byte(text[start:]), &fields) != nil {
 			continue
 		}
-		stamp, _ := fields["ts"].(string)
-		at, err := time.Parse(time.RFC3339Nano, stamp)
+		timestamp, _ := fields["ts"].(string)
+		parsed, err := time.Parse(time.RFC3339Nano, timestamp)
 		if err != nil {
 			continue
 		}
-		line := logLine{file: name, time: at, fields: fields}
+		line := logLine{file: name, time: parsed, fields: fields}
 		line.msg, _ = fields["msg"].(string)
 		line.id, _ = fields["id"].(string)
 		lines = append(lines, line)
@@ -108,9 +111,9 @@
 	return lines, scanner.Err()
 }
 
-// explain returns the lines of a request, and the beliefs that changed shortly
-// before and during it.
-func explain(lines []logLine, id string) []logLine {
+// requestTimeline returns the log lines of a request together with the state
+// changes logged during it and within stateChangeWindow before it.
+func requestTimeline(lines []logLine, id string) []logLine {
 	first, last := -1, -1
 	for i := range lines {
 		if lines[i].id != id {
@@ -124,17 +127,17 @@
 	if first < 0 {
 		return nil
 	}
-	from := lines[first].time.Add(-beliefWindow)
-	var course []logLine
+	from := lines[first].time.Add(-stateChangeWindow)
+	var timeline []logLine
 	for _, line := range lines[:last+1] {
-		if line.id == id || beliefs[line.msg] && line.time.After(from) {
-			course = append(course, line)
+		if line.id == id || stateChanges[line.msg] && line.time.After(from) {
+			timeline = append(timeline, line)
 		}
 	}
-	return course
+	return timeline
 }
 
-// text is the printed form: time, process, message and fields in order of name.
+// text formats the line as time, file, message and the fields sorted by name.
 func (l *logLine) text() string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -29,24 +29,26 @@
 			fmt.Fprintln(errOut, err)
 			return ExitFailed
 		}
-		printNewKey(key, r.connection.output, out)
+		printNewKey(key, r.flags.output, out)
 		if *workspace == "" {
 			return ExitOK
 		}
 		add := func(cl *client, out, errOut io.Writer) (int, error) {
 			return cl.addKey(*workspace, keyEntry(*id, keys.Sum(key)), out, errOut)
 		}
-		// The key is the output; the outcome of the edit is a message.
-		return r.connection.command(add)(errOut, errOut)
+		// Standard output carries only the key, so the outcome of the edit
+		// goes to standard error.
+		return r.flags.command(add)(errOut, errOut)
 	})
 }
 
-// keyIDBytes is the part of the hash that names a key by default.
-const keyIDBytes = 4
+// defaultKeyIDBytes is the number of leading hash bytes that form the default
+// ID of a key.
+const defaultKeyIDBytes = 4
 
 func keyEntry(id string, h keys.Hash) config.Key {
 	if id == "" {
-		id = fmt.Sprintf("%x", h[:keyIDBytes])
+		id = fmt.Sprintf("%x", h[:defaultKeyIDBytes])
 	}
 	return config.Key{ID: id, SHA256: h.String()}
 }
@@ -61,22 +63,22 @@
 
 // addKey adds a key to a workspace of the document in force.
 func (c *client) addKey(workspace string, key config.Key, out, errOut io.Writer) (int, error) {
-	_, current, err := c.inForce(string(config.SectionWorkspaces))
+	_, current, err := c.fetchSections(string(config.SectionWorkspaces))
 	if err != nil {
 		return ExitFailed, err
 	}
 	section := current[config.SectionWorkspaces]
-	have, err := config.ParseContents(contentsOf(section))
+	currentContents, err := config.ParseContents(sectionContents(section))
 	if err != nil {
 		return ExitFailed, err
 	}
-	if _, known := have[workspace]; !known {
+	if _, known := currentContents[workspace]; !known {
 		return ExitRefused, fmt.Errorf("workspace %s does not exist", workspace)
 	}
-	patch, err := have.AppendKey(workspace, key)
+	patch, err := currentContents.AppendKey(workspace, key)
 	if err != nil {
 		return ExitFailed, err
 	}
-	ch := change{section: config.SectionWorkspaces, base: section.GetRevision(), patch: patch}
-	return c.send(newEdit([]change{ch}, applyOptions{comment: "new key " + key.ID}), out, errOut)
+	ch := sectionChange{section: config.SectionWorkspaces, base: section.GetRevision(), patch: patch}
+	return c.sendEdit(newEdit([]sectionChange{ch}, editOptions{comment: "new key " + key.ID}), out, errOut)
 }
--- a/internal/cli/keys_withdraw.go
+++ b/internal/cli/keys_withdraw.go
@@ -25,7 +25,7 @@
 	c.Flag("workspace", "Workspace of the key that --id names.").StringVar(&o.workspace)
 	c.Flag("id", "Name of a key in the document; may be repeated.").StringsVar(&o.ids)
 	c.Flag("stdin", "Read keys from standard input, one a line; only their hashes are sent.").BoolVar(&o.stdin)
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.withdraw(o, out) }))
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.withdraw(o, out) }))
 }
 
 type withdrawOptions struct {
@@ -36,32 +36,32 @@
 }
 
 func (c *client) withdraw(o withdrawOptions, out io.Writer) (int, error) {
-	hashes, err := c.namedKeys(o)
+	hashes, err := c.selectedKeys(o)
 	if err != nil {
 		return ExitRefused, err
 	}
 	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.ToBytes(hashes), EditId: newEditID()}
-	answer, err := call(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.WithdrawKeysResponse, error) {
+	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.WithdrawKeysResponse, error) {
 		return s.WithdrawKeys(ctx, request)
 	})
 	if err != nil {
 		return ExitFailed, err
 	}
-	code := reachCode(answer.GetZones())
-	if !answer.GetCommitted() {
+	code := zonesExitCode(resp.GetZones())
+	if !resp.GetCommitted() {
 		code = ExitPartial
 	}
 	if c.output == outputJSON {
-		return code, printMessage(out, answer)
+		return code, printMessage(out, resp)
 	}
-	printReach(out, answer.GetZones(), "confirmed")
-	if !answer.GetCommitted() {
+	printZones(out, resp.GetZones(), "confirmed")
+	if !resp.GetCommitted() {
 		fmt.Fprintln(out, "the control log has not committed the withdrawal yet; the VMs go on proposing it")
 	}
 	return code, nil
 }
 
-func (c *client) namedKeys(o withdrawOptions) ([]keys.Hash, error) {
+func (c *client) selectedKeys(o withdrawOptions) ([]keys.Hash, error) {
 	var hashes []keys.Hash
 	for _, text := range o.hashes {
 		h, err := keys.ParseHash(text)
@@ -78,7 +78,7 @@
 		hashes = append(hashes, found...)
 	}
 	if o.stdin {
-		hashes = append(hashes, hashLines(os.Stdin)...)
+		hashes = append(hashes, readKeyHashes(os.Stdin)...)
 	}
 	if len(hashes) == 0 {
 		return nil, errors.New("no key is named; use --sha256, --workspace with --id, or --stdin")
@@ -90,26 +90,26 @@
 	if workspace == "" {
 		return nil, errors.New("--id needs --workspace")
 	}
-	answer, err := c.listKeys(workspace)
+	resp, err := c.listKeys(workspace)
 	if err != nil {
 		return nil, err
 	}
-	var raw [][]byte
+	var rawHashes [][]byte
 	for _, id := range ids {
-		known := len(raw)
-		for _, k := range answer.GetKeys() {
+		before := len(rawHashes)
+		for _, k := range resp.GetKeys() {
 			if k.GetId() == id {
-				raw = append(raw, k.GetSha256())
+				rawHashes = append(rawHashes, k.GetSha256())
 			}
 		}
-		if len(raw) == known {
+		if len(rawHashes) == before {
 			return nil, fmt.Errorf("workspace %s has no key %s in the document in force", workspace, id)
 		}
 	}
-	return keyset.FromBytes(raw)
+	return keyset.FromBytes(rawHashes)
 }
 
-func hashLines(in io.Reader) []keys.Hash {
+func readKeyHashes(in io.Reader) []keys.Hash {
 	var hashes []keys.Hash
 	scanner := bufio.NewScanner(in)
 	for scanner.Scan() {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -18,15 +18,18 @@
 )
 
 const (
-	// loadWarmup is not measured: caches start empty.
-	loadWarmup = 8 * time.Second
-	// loadFill is how long the service idles before the load, so that rate
-	// buckets, which start empty, are full as they are in steady use.
-	loadFill = 11 * time.Second
-	// loadGrace is how long after the last arrival answers are awaited.
-	loadGrace        = 60 * time.Second
-	maxIdleCallers   = 256
-	progressInterval = 50
+	// warmupDuration is the part of the load that the figures leave out,
+	// because caches start empty.
+	warmupDuration = 8 * time.Second
+	// bucketFillDuration is how long the service idles before the load, so
+	// that the rate buckets, which start empty, are full as in steady
+	// operation.
+	bucketFillDuration = 11 * time.Second
+	// responseGrace is how long after the last arrival the run still waits for
+	// responses.
+	responseGrace = 60 * time.Second
+	maxIdleConns  = 256
+	progressEvery = 50
 )
 
 // loadFlags are the flags of the load command.
@@ -36,7 +39,7 @@
 	rate    float64
 	seed    uint64
 	kill    bool
-	// baseline routes by least outstanding requests.
+	// baseline routes by least outstanding requests instead of by prefix.
 	baseline bool
 }
 
@@ -52,78 +55,79 @@
 	c.Flag("kill-engine", "Kill an engine in the middle of the run.").BoolVar(&f.kill)
 	c.Flag("baseline", "Route by least outstanding requests instead of by prefix, for comparison.").BoolVar(&f.baseline)
 	r.add(c, func(out, errOut io.Writer) int {
-		m, err := runLoad(f, errOut)
+		summary, err := runLoad(f, errOut)
 		if err != nil {
 			fmt.Fprintln(errOut, "cuminwing load:", err)
 			return ExitFailed
 		}
-		return printLoad(m, r.connection.output, out)
+		return printLoad(summary, r.flags.output, out)
 	})
 }
 
-func runLoad(f *loadFlags, progress io.Writer) (*loadgen.Measures, error) {
+func runLoad(f *loadFlags, progress io.Writer) (*loadgen.Summary, error) {
 	p := loadgen.Profiles()[f.profile]
 	if f.rate > 0 {
 		p.RequestsPerSecond = f.rate
 	}
-	if time.Duration(f.seconds)*time.Second <= loadWarmup {
-		return nil, fmt.Errorf("--seconds must be more than the warm-up of %v", loadWarmup)
+	if time.Duration(f.seconds)*time.Second <= warmupDuration {
+		return nil, fmt.Errorf("--seconds must be more than the warm-up of %v", warmupDuration)
 	}
 	if err := p.MakeKeys(); err != nil {
 		return nil, err
 	}
 	document := p.Document()
-	fleet, err := startFleet(document, loadEngines(&p), daemon.Options{LeastOutstanding: f.baseline})
+	cluster, err := startCluster(document, profileEngines(&p), daemon.Options{LeastOutstanding: f.baseline})
 	if err != nil {
 		return nil, err
 	}
-	defer fleet.close()
-	service, err := fleet.startService(p.OrderService)
+	defer cluster.close()
+	service, err := cluster.startService(p.OrderService)
 	if err != nil {
 		return nil, err
 	}
 	defer service.Close()
-	return loadFleet(f, &p, document, fleet, service, progress)
+	return driveLoad(f, &p, document, cluster, service, progress)
 }
 
-func loadFleet(f *loadFlags, p *loadgen.Profile, document config.Document, fleet *localFleet, service *standin.Service, progress io.Writer) (*loadgen.Measures, error) {
+func driveLoad(f *loadFlags, p *loadgen.Profile, document config.Document, cluster *localCluster, service *standin.Service, progress io.Writer) (*loadgen.Summary, error) {
 	duration := time.Duration(f.seconds) * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), loadFill+duration+loadGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), bucketFillDuration+duration+responseGrace)
 	defer cancel()
 	caller := &loadgen.Caller{
-		Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleCallers}},
-		URLs:   fleet.callerURLs(),
-		Expect: standin.Answer,
+		Client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
+		URLs:         cluster.callerURLs(),
+		ExpectedText: standin.Answer,
 	}
-	if err := fleet.awaitReady(ctx); err != nil {
+	if err := cluster.waitReady(ctx); err != nil {
 		return nil, err
 	}
-	time.Sleep(loadFill)
+	time.Sleep(bucketFillDuration)
 	orders := make(chan []*loadgen.Order, 1)
 	go func() { orders <- caller.RunOrders(ctx, p, f.seed, duration) }()
-	warm := make(chan loadgen.Counters, 1)
-	time.AfterFunc(loadWarmup, func() { warm <- fleet.counters() })
+	countersAfterWarmup := make(chan loadgen.Counters, 1)
+	time.AfterFunc(warmupDuration, func() { countersAfterWarmup <- cluster.counters() })
 	if f.kill {
-		time.AfterFunc((duration+loadWarmup)/2, fleet.engines[0].Close)
+		time.AfterFunc((duration+warmupDuration)/2, cluster.engines[0].Close)
 	}
 	results := caller.Run(ctx, p, loadgen.Plan(p, f.seed, duration), progressLine(progress, duration))
-	used := fleet.counters().Since(<-warm)
-	m := loadgen.Measure(p, document, results, used, loadWarmup)
-	sent := <-orders
-	m.Orders = len(sent)
-	m.Broken = append(m.Broken, loadgen.CheckOrders(sent, service.Executions)...)
-	if m.OverRate > 0 {
-		m.Broken = append(m.Broken, fmt.Sprintf("a workspace got %.0f tokens above its rate and burst", m.OverRate))
-	}
-	if m.Requests == 0 {
-		return nil, errors.New("no request was measured")
-	}
-	return &m, nil
+	measured := cluster.counters().Since(<-countersAfterWarmup)
+	summary := loadgen.Summarize(p, document, results, measured, warmupDuration)
+	sentOrders := <-orders
+	summary.Orders = len(sentOrders)
+	summary.Violations = append(summary.Violations, loadgen.CheckOrders(sentOrders, service.Executions)...)
+	if summary.ExcessTokens > 0 {
+		summary.Violations = append(summary.Violations, fmt.Sprintf("a workspace got %.0f tokens above its rate and burst", summary.ExcessTokens))
+	}
+	if summary.Requests == 0 {
+		return nil, errors.New("no request was sent after the warm-up")
+	}
+	return &summary, nil
 }
 
-// loadEngines makes the engines of a profile. A tenth of the real block size
-// and prefill speed keeps the proportions.
-func loadEngines(p *loadgen.Profile) []standin.EngineOptions {
+// profileEngines returns the options of a profile's stand-in engines. Block
+// size and prefill speed are both a tenth of the real ones, which keeps their
+// ratio.
+func profileEngines(p *loadgen.Profile) []standin.EngineOptions {
 	var out []standin.EngineOptions
 	for _, m := range p.Models {
 		for _, zone := range sortedKeys(m.Engines) {
@@ -131,11 +135,11 @@
 				out = append(out, standin.EngineOptions{
 					ID:   fmt.Sprintf("%s-%s-%d", m.Name, zone, i),
 					Zone: zone, Region: p.Zones[zone].Region, Model: m.Name, Version: "v1",
-					TokenInterval: loadTokenInterval, BatchSlots: loadBatchSlots,
+					TokenInterval: loadEngineTokenInterval, BatchSlots: engineBatchSlots,
 					Cache: standin.CacheOptions{
-						Blocks:                 m.PromptBlocks * loadCachePrompts,
+						Blocks:                 m.PromptBlocks * cachePrompts,
 						BlockTokens:            loadgen.BlockTokens,
-						PrefillTokensPerSecond: loadgen.EngineRate,
+						PrefillTokensPerSecond: loadgen.PrefillRate,
 						EventLag:               200 * time.Millisecond,
 						EventLoss:              0.01,
 						LoadLag:                500 * time.Millisecond,
@@ -148,13 +152,14 @@
 }
 
 const (
-	loadTokenInterval = 20 * time.Millisecond
-	loadBatchSlots    = 8
-	// loadCachePrompts is how many whole prompts fit into a cache.
-	loadCachePrompts = 20
+	loadEngineTokenInterval = 20 * time.Millisecond
+	engineBatchSlots        = 8
+	// cachePrompts is the cache capacity of an engine in full-length prompts.
+	cachePrompts = 20
 )
 
-// progressLine writes one line that is rewritten in place, on terminals only.
+// progressLine returns a function that reports progress on a line rewritten in
+// place. The function does nothing if w is not a terminal.
 func progressLine(w io.Writer, duration time.Duration) func(done, sent int) {
 	file, ok := w.(*os.File)
 	if !ok || !isTerminal(file) {
@@ -162,7 +167,7 @@
 	}
 	start := time.Now()
 	return func(done, sent int) {
-		if sent%progressInterval == 0 {
+		if sent%progressEvery == 0 {
 			fmt.Fprintf(w, "\r%3.0f of %.0f s, %d sent, %d answered ", time.Since(start).Seconds(), duration.Seconds(), sent, done)
 		}
 	}
@@ -173,37 +178,37 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func printLoad(m *loadgen.Measures, output string, out io.Writer) int {
+func printLoad(summary *loadgen.Summary, output string, out io.Writer) int {
 	code := ExitOK
-	if len(m.Broken) > 0 {
-		code = ExitPromiseBroken
+	if len(summary.Violations) > 0 {
+		code = ExitCheckFailed
 	}
 	if output == outputJSON {
-		_ = printJSON(out, m)
+		_ = printJSON(out, summary)
 		return code
 	}
 	t := newTable(out, "MEASURE", "VALUE")
-	t.row("requests", fmt.Sprintf("%d (%d complete, %d refused, %d failed)", m.Requests, m.Complete, m.Refused, m.Failed))
-	t.row("prefix hit rate", percent(m.HitRate))
-	t.row("first token p50 / p95 / p99", fmt.Sprintf("%.0f / %.0f / %.0f ms", m.FirstToken.P50, m.FirstToken.P95, m.FirstToken.P99))
-	t.row("recomputed / wasted", percent(m.Recomputed)+" / "+percent(m.Wasted))
-	t.row("worst workspace", fmt.Sprintf("%s, %.2f times the median p99", m.WorstWorkspace, m.WorstRatio))
-	t.row("refused inside rate", fmt.Sprintf("%d of %d", m.RefusedInRate, m.InRate))
-	t.row("tokens over rate and burst", fmt.Sprintf("%.0f", m.OverRate))
-	t.row("at-most-once orders", fmt.Sprint(m.Orders))
-	for _, c := range sortedKeys(m.Codes) {
-		t.row("refusals and failures: "+c, fmt.Sprint(m.Codes[c]))
+	t.row("requests", fmt.Sprintf("%d (%d complete, %d refused, %d failed)", summary.Requests, summary.Complete, summary.Refused, summary.Failed))
+	t.row("prefix hit rate", percent(summary.HitRate))
+	t.row("first token p50 / p95 / p99", fmt.Sprintf("%.0f / %.0f / %.0f ms", summary.FirstToken.P50, summary.FirstToken.P95, summary.FirstToken.P99))
+	t.row("recomputed / wasted", percent(summary.Recomputed)+" / "+percent(summary.Wasted))
+	t.row("worst workspace", fmt.Sprintf("%s, %.2f times the median p99", summary.WorstWorkspace, summary.WorstRatio))
+	t.row("refused inside rate", fmt.Sprintf("%d of %d", summary.RefusedInRate, summary.InRate))
+	t.row("tokens over rate and burst", fmt.Sprintf("%.0f", summary.ExcessTokens))
+	t.row("at-most-once orders", fmt.Sprint(summary.Orders))
+	for _, c := range sortedKeys(summary.Codes) {
+		t.row("refusals and failures: "+c, fmt.Sprint(summary.Codes[c]))
 	}
 	t.flush()
 	fmt.Fprintln(out)
 	w := newTable(out, "WORKSPACE", "REQUESTS", "COMPLETE", "REFUSED", "REFUSED IN RATE", "P50", "P99")
-	for _, row := range m.Workspaces {
+	for _, row := range summary.Workspaces {
 		w.row(row.Name, fmt.Sprint(row.Requests), fmt.Sprint(row.Complete), fmt.Sprint(row.Refused), fmt.Sprintf("%d of %d", row.RefusedInRate, row.InRate),
 			fmt.Sprintf("%.0f ms", row.FirstToken.P50), fmt.Sprintf("%.0f ms", row.FirstToken.P99))
 	}
 	w.flush()
-	if len(m.Broken) > 0 {
-		fmt.Fprintln(out, "\nbroken promises:\n  "+strings.Join(m.Broken, "\n  "))
+	if len(summary.Violations) > 0 {
+		fmt.Fprintln(out, "\nbroken promises:\n  "+strings.Join(summary.Violations, "\n  "))
 	}
 	return code
 }
--- a/internal/cli/local_cluster.go
+++ b/internal/cli/local_cluster.go
@@ -17,77 +17,78 @@
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
-// maxVoters is the number of voters of a local fleet.
+// maxVoters is the maximum number of voters in a local cluster.
 const maxVoters = 3
 
-// localFleet runs VMs and stand-in engines on loopback inside this process,
-// with the disks of its voters in a temporary folder.
-type localFleet struct {
+// localCluster runs VMs and stand-in engines on loopback inside this process.
+// The voters store their data in a temporary folder.
+type localCluster struct {
 	folder   string
 	settings []settings.Settings
 	nodes    []*daemon.Node
 	engines  []*standin.Engine
 }
 
-// startFleet starts one VM per slot of the document's zones, and the engines.
-func startFleet(document config.Document, engines []standin.EngineOptions, options daemon.Options) (*localFleet, error) {
+// startCluster starts the engines and one VM per VM slot of the document's
+// zones.
+func startCluster(document config.Document, engines []standin.EngineOptions, options daemon.Options) (*localCluster, error) {
 	folder, err := os.MkdirTemp("", "cuminwing-")
 	if err != nil {
 		return nil, err
 	}
-	f := &localFleet{folder: folder}
-	if err := f.start(document, engines, options); err != nil {
-		f.close()
+	c := &localCluster{folder: folder}
+	if err := c.start(document, engines, options); err != nil {
+		c.close()
 		return nil, err
 	}
-	return f, nil
+	return c, nil
 }
 
-func (f *localFleet) start(document config.Document, engines []standin.EngineOptions, options daemon.Options) error {
+func (c *localCluster) start(document config.Document, engines []standin.EngineOptions, options daemon.Options) error {
 	options.Document = &document
-	if err := f.plan(document); err != nil {
+	if err := c.makeSettings(document); err != nil {
 		return err
 	}
-	for _, s := range f.settings {
+	for _, s := range c.settings {
 		node, err := daemon.Start(s, options)
 		if err != nil {
 			return err
 		}
-		f.nodes = append(f.nodes, node)
+		c.nodes = append(c.nodes, node)
 	}
 	for _, e := range engines {
-		e.Announce = f.announceURLs(e.Zone)
+		e.Announce = c.announceURLs(e.Zone)
 		engine, err := standin.StartEngine("127.0.0.1:0", e)
 		if err != nil {
 			return err
 		}
-		f.engines = append(f.engines, engine)
+		c.engines = append(c.engines, engine)
 	}
 	return nil
 }
 
-// plan makes the settings of every VM. The first VMs of different zones are
-// the voters.
-func (f *localFleet) plan(document config.Document) error {
+// makeSettings creates the settings of every VM. Voters are spread over the
+// zones: the first VM of each zone is preferred.
+func (c *localCluster) makeSettings(document config.Document) error {
 	byZone := make(map[string][]int)
 	for _, zone := range sortedKeys(document.Zones) {
 		z := document.Zones[zone]
 		for slot := range z.VMSlots {
 			s := settings.Settings{VM: fmt.Sprintf("vm-%s-%d", zone, slot), Zone: zone, Region: z.Region, Slot: slot}
-			if err := giveAddresses(&s); err != nil {
+			if err := assignAddresses(&s); err != nil {
 				return err
 			}
-			byZone[zone] = append(byZone[zone], len(f.settings))
-			f.settings = append(f.settings, s)
+			byZone[zone] = append(byZone[zone], len(c.settings))
+			c.settings = append(c.settings, s)
 		}
 	}
-	f.chooseVoters(byZone)
+	c.chooseVoters(byZone)
 	return nil
 }
 
-func (f *localFleet) chooseVoters(byZone map[string][]int) {
+func (c *localCluster) chooseVoters(byZone map[string][]int) {
 	var order []int
-	for round := 0; len(order) < len(f.settings); round++ {
+	for round := 0; len(order) < len(c.settings); round++ {
 		for _, zone := range sortedKeys(byZone) {
 			if vms := byZone[zone]; round < len(vms) {
 				order = append(order, vms[round])
@@ -100,20 +101,20 @@
 	}
 	voters := make(map[string]string)
 	for _, i := range order[:count] {
-		voters[f.settings[i].VM] = f.settings[i].PeerAddress
-		f.settings[i].DataFolder = filepath.Join(f.folder, f.settings[i].VM)
+		voters[c.settings[i].VM] = c.settings[i].PeerAddress
+		c.settings[i].DataFolder = filepath.Join(c.folder, c.settings[i].VM)
 	}
-	join := f.settings[0].GossipAddress
-	for i := range f.settings {
-		f.settings[i].Voters = voters
-		f.settings[i].Join = []string{join}
+	join := c.settings[0].GossipAddress
+	for i := range c.settings {
+		c.settings[i].Voters = voters
+		c.settings[i].Join = []string{join}
 	}
 }
 
-// announceURLs lists the target listeners of the zone's VMs.
-func (f *localFleet) announceURLs(zone string) []string {
+// announceURLs returns the URLs of the target listeners of the zone's VMs.
+func (c *localCluster) announceURLs(zone string) []string {
 	var urls []string
-	for _, s := range f.settings {
+	for _, s := range c.settings {
 		if s.Zone == zone {
 			urls = append(urls, "http://"+s.TargetAddress)
 		}
@@ -121,26 +122,26 @@
 	return urls
 }
 
-// callerURLs lists the caller listeners of all VMs.
-func (f *localFleet) callerURLs() []string {
+// callerURLs returns the URLs of the caller listeners of all VMs.
+func (c *localCluster) callerURLs() []string {
 	var urls []string
-	for _, s := range f.settings {
+	for _, s := range c.settings {
 		urls = append(urls, "http://"+s.CallerAddress)
 	}
 	return urls
 }
 
-func (f *localFleet) close() {
-	for _, e := range f.engines {
+func (c *localCluster) close() {
+	for _, e := range c.engines {
 		e.Close()
 	}
-	for _, n := range f.nodes {
+	for _, n := range c.nodes {
 		n.Close()
 	}
-	_ = os.RemoveAll(f.folder)
+	_ = os.RemoveAll(c.folder)
 }
 
-func giveAddresses(s *settings.Settings) error {
+func assignAddresses(s *settings.Settings) error {
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
 		address, err := loopback.Address()
 		if err != nil {
@@ -151,39 +152,40 @@
 	return nil
 }
 
-// engineTokenInterval is the time between tokens of a stand-in engine.
-const engineTokenInterval = 5 * time.Millisecond
+// demoTokenInterval is the time between two tokens of a demo engine.
+const demoTokenInterval = 5 * time.Millisecond
 
-// startService starts one replica of a plain service in the first zone.
-func (f *localFleet) startService(name string) (*standin.Service, error) {
-	zone := f.settings[0].Zone
+// startService starts one replica of a stand-in service that is not a model, in
+// the zone of the first VM.
+func (c *localCluster) startService(name string) (*standin.Service, error) {
+	zone := c.settings[0].Zone
 	return standin.StartService("127.0.0.1:0", standin.ServiceOptions{
-		ID: name + "-1", Zone: zone, Region: f.settings[0].Region, Service: name, Announce: f.announceURLs(zone),
+		ID: name + "-1", Zone: zone, Region: c.settings[0].Region, Service: name, Announce: c.announceURLs(zone),
 	})
 }
 
-// readyPoll is how often awaitReady looks.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the interval at which waitReady checks a VM.
+const readyPollInterval = 50 * time.Millisecond
 
-// awaitReady waits until every VM knows the others and all targets, and the
-// log has a leader.
-func (f *localFleet) awaitReady(ctx context.Context) error {
-	for _, n := range f.nodes {
-		for !n.Knows(len(f.nodes), len(f.engines)) {
+// waitReady waits until every VM knows all other VMs, all engines and a leader
+// of the control log.
+func (c *localCluster) waitReady(ctx context.Context) error {
+	for _, n := range c.nodes {
+		for !n.Knows(len(c.nodes), len(c.engines)) {
 			select {
 			case <-ctx.Done():
-				return errors.New("the VMs did not find each other and the targets in time")
-			case <-time.After(readyPoll):
+				return errors.New("timed out waiting for every VM to discover the other VMs, all targets and the leader")
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// counters sums the request counters of all VMs.
-func (f *localFleet) counters() loadgen.Counters {
+// counters returns the sums of the token counters over all VMs.
+func (c *localCluster) counters() loadgen.Counters {
 	var sum loadgen.Counters
-	for _, n := range f.nodes {
+	for _, n := range c.nodes {
 		sum.PromptTokens += n.Counter("prompt_tokens")
 		sum.CachedTokens += n.Counter("cached_tokens")
 		sum.WastedTokens += n.Counter("wasted_tokens")
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -27,9 +27,9 @@
   "zones": {"muc-a": {"region": "oberbayern", "vm_slots": 1}}
 }`
 
-// startService runs one VM with a control log of its own and returns its admin
-// address.
-func startService(t *testing.T) string {
+// startTestVM starts one VM that is the only voter of its control log and
+// returns its admin address.
+func startTestVM(t *testing.T) string {
 	t.Helper()
 	s := settings.Settings{VM: "vm-1", Zone: "muc-a", Region: "oberbayern", DataFolder: t.TempDir()}
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
@@ -48,7 +48,7 @@
 	return s.AdminAddress
 }
 
-func run(t *testing.T, want int, args ...string) string {
+func runCLI(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	var out, errOut bytes.Buffer
 	if code := Run(args, &out, &errOut); code != want {
@@ -66,38 +66,40 @@
 	return name
 }
 
-func wantText(t *testing.T, got string, parts ...string) {
+func requireText(t *testing.T, got string, parts ...string) {
 	t.Helper()
 	for _, part := range parts {
 		if !strings.Contains(got, part) {
-			t.Fatalf("no %q in:\n%s", part, got)
+			t.Fatalf("output lacks %q:\n%s", part, got)
 		}
 	}
 }
 
-// Guards the operators' way of working: two of them read the same state, and
-// the second edit of a section must not undo the first.
+// Guards against lost updates: if two operators read the same state, the second
+// edit of a section must not undo the first.
 func TestOperatorsDoNotOverwriteEachOther(t *testing.T) {
-	t.Setenv("CUMINWING_SERVER", startService(t))
-	run(t, ExitOK, "config", "apply", writeFile(t, document))
-	first := run(t, ExitOK, "config", "get")
-	mine := strings.Replace(first, `"rate_tokens_per_second": 10`, `"rate_tokens_per_second": 20`, 1)
-	theirs := strings.Replace(first, `"serving_version": "v1"`, `"serving_version": "v2"`, 1)
-	late := strings.Replace(first, `"burst_tokens": 50`, `"burst_tokens": 60`, 1)
-	wantText(t, run(t, ExitOK, "config", "diff", writeFile(t, mine)), "rates", "lorries", "changed", "20")
-	run(t, ExitOK, "config", "apply", writeFile(t, mine), "--comment", "raise")
-	// Another section, read before the first edit: no conflict.
-	run(t, ExitOK, "config", "apply", writeFile(t, theirs))
-	wantText(t, run(t, ExitConflict, "config", "apply", writeFile(t, late)), "section rates was changed to revision")
-	wantText(t, run(t, ExitRefused, "config", "apply", writeFile(t, `{"rates": {}}`)), "does not note the state")
-	wantText(t, run(t, ExitRefused, "config", "apply", writeFile(t, `{"rates": {}}`), "--overwrite"), `workspace "yards" has no rate`)
-	now := run(t, ExitOK, "config", "get", "--defaults")
-	wantText(t, now, `"serving_version": "v2"`, `"rate_tokens_per_second": 20`, `"burst_tokens": 50`, `"floor_fraction": 0.2`)
-	wantText(t, run(t, ExitOK, "config", "history"), "raise", "rates", "models")
-	wantText(t, run(t, ExitOK, "status"), "vm-1", "live", "muc-a")
+	t.Setenv("CUMINWING_SERVER", startTestVM(t))
+	runCLI(t, ExitOK, "config", "apply", writeFile(t, document))
+	first := runCLI(t, ExitOK, "config", "get")
+	firstEdit := strings.Replace(first, `"rate_tokens_per_second": 10`, `"rate_tokens_per_second": 20`, 1)
+	otherSectionEdit := strings.Replace(first, `"serving_version": "v1"`, `"serving_version": "v2"`, 1)
+	conflictingEdit := strings.Replace(first, `"burst_tokens": 50`, `"burst_tokens": 60`, 1)
+	requireText(t, runCLI(t, ExitOK, "config", "diff", writeFile(t, firstEdit)), "rates", "lorries", "changed", "20")
+	runCLI(t, ExitOK, "config", "apply", writeFile(t, firstEdit), "--comment", "raise")
+	// An edit of another section does not conflict, although its file was read
+	// before the first edit.
+	runCLI(t, ExitOK, "config", "apply", writeFile(t, otherSectionEdit))
+	requireText(t, runCLI(t, ExitConflict, "config", "apply", writeFile(t, conflictingEdit)), "section rates was changed to revision")
+	requireText(t, runCLI(t, ExitRefused, "config", "apply", writeFile(t, `{"rates": {}}`)), "does not note the state")
+	requireText(t, runCLI(t, ExitRefused, "config", "apply", writeFile(t, `{"rates": {}}`), "--overwrite"), `workspace "yards" has no rate`)
+	now := runCLI(t, ExitOK, "config", "get", "--defaults")
+	requireText(t, now, `"serving_version": "v2"`, `"rate_tokens_per_second": 20`, `"burst_tokens": 50`, `"floor_fraction": 0.2`)
+	requireText(t, runCLI(t, ExitOK, "config", "history"), "raise", "rates", "models")
+	requireText(t, runCLI(t, ExitOK, "status"), "vm-1", "live", "muc-a")
 }
 
-// lossyProxy passes calls on and loses the answers of the first ones.
+// lossyProxy forwards calls to address, but drops the responses to the first
+// calls whose path ends in path; lose is the number of responses dropped.
 func lossyProxy(t *testing.T, address, path string, lose int64) string {
 	t.Helper()
 	var left atomic.Int64
@@ -115,53 +117,55 @@
 	return server.Listener.Addr().String()
 }
 
-// Guards against an edit that is executed again when its answer is lost.
-func TestLostAnswerIsResentWithSameID(t *testing.T) {
-	address := startService(t)
+// Guards against an edit that is executed twice because its response was lost
+// and the client sent it again.
+func TestLostResponseIsRetriedWithSameEditID(t *testing.T) {
+	address := startTestVM(t)
 	t.Setenv("CUMINWING_SERVER", address)
-	run(t, ExitOK, "config", "apply", writeFile(t, document))
+	runCLI(t, ExitOK, "config", "apply", writeFile(t, document))
 	t.Setenv("CUMINWING_SERVER", lossyProxy(t, address, "ApplyConfig", 2))
-	edited := strings.Replace(run(t, ExitOK, "config", "get", "--section", "rates"), `: 10`, `: 30`, 1)
-	run(t, ExitOK, "config", "apply", writeFile(t, edited))
+	edited := strings.Replace(runCLI(t, ExitOK, "config", "get", "--section", "rates"), `: 10`, `: 30`, 1)
+	runCLI(t, ExitOK, "config", "apply", writeFile(t, edited))
 	var history []historyEntry
-	text := run(t, ExitOK, "--output", "json", "config", "history")
+	text := runCLI(t, ExitOK, "--output", "json", "config", "history")
 	if err := json.Unmarshal([]byte(text), &history); err != nil {
 		t.Fatal(err)
 	}
 	if len(history) != 2 {
-		t.Fatalf("%d edits in the history, want 2:\n%s", len(history), text)
+		t.Fatalf("history has %d edits, want 2:\n%s", len(history), text)
 	}
 }
 
-// Guards the life of a key: made once, listed by its hash only, and withdrawn
-// for good.
-func TestKeysFromNewToWithdrawn(t *testing.T) {
-	t.Setenv("CUMINWING_SERVER", startService(t))
-	run(t, ExitOK, "config", "apply", writeFile(t, document))
-	made := run(t, ExitOK, "keys", "new", "--workspace", "yards", "--id", "dispatch")
-	wantText(t, made, "key:    cw-", "accepted")
+// Tests the lifecycle of a key: it is printed once on creation, listed only by
+// its hash, and can be withdrawn permanently.
+func TestKeyLifecycle(t *testing.T) {
+	t.Setenv("CUMINWING_SERVER", startTestVM(t))
+	runCLI(t, ExitOK, "config", "apply", writeFile(t, document))
+	made := runCLI(t, ExitOK, "keys", "new", "--workspace", "yards", "--id", "dispatch")
+	requireText(t, made, "key:    cw-", "accepted")
 	key := strings.Fields(made)[1]
-	listed := run(t, ExitOK, "keys", "list", "--workspace", "yards")
-	wantText(t, listed, "dispatch", "usable")
+	listed := runCLI(t, ExitOK, "keys", "list", "--workspace", "yards")
+	requireText(t, listed, "dispatch", "usable")
 	if strings.Contains(listed, key) {
-		t.Fatal("the list shows the key")
+		t.Fatal("keys list prints the key itself")
 	}
-	run(t, ExitRefused, "keys", "withdraw", "--workspace", "yards", "--id", "unknown")
-	run(t, ExitOK, "keys", "withdraw", "--workspace", "yards", "--id", "dispatch")
-	wantText(t, run(t, ExitOK, "keys", "list"), "withdrawn")
+	runCLI(t, ExitRefused, "keys", "withdraw", "--workspace", "yards", "--id", "unknown")
+	runCLI(t, ExitOK, "keys", "withdraw", "--workspace", "yards", "--id", "dispatch")
+	requireText(t, runCLI(t, ExitOK, "keys", "list"), "withdrawn")
 }
 
-// Guards the exit codes when no VM answers, and the examples in the help.
+// Tests the exit codes for an invalid and an unreachable server, the examples
+// in the help, and that nothing follows the completion script.
 func TestUnreachableServerAndHelp(t *testing.T) {
-	run(t, ExitRefused, "status", "--server", "not-an-address")
+	runCLI(t, ExitRefused, "status", "--server", "not-an-address")
 	start := time.Now()
-	run(t, ExitFailed, "status", "--server", "127.0.0.1:1")
+	runCLI(t, ExitFailed, "status", "--server", "127.0.0.1:1")
 	if time.Since(start) > callTimeout {
-		t.Fatal("a refused connection took as long as a silent one")
+		t.Fatal("a refused connection took as long as one that times out")
 	}
-	wantText(t, run(t, ExitOK, "config", "apply", "--help"), "Example:", "cuminwing config apply rates.json")
+	requireText(t, runCLI(t, ExitOK, "config", "apply", "--help"), "Example:", "cuminwing config apply rates.json")
 	// kingpin writes the script to the standard output of the process.
-	if text := run(t, ExitOK, "--completion-script-bash"); text != "" {
+	if text := runCLI(t, ExitOK, "--completion-script-bash"); text != "" {
 		t.Fatalf("the completion script is followed by:\n%s", text)
 	}
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -19,7 +19,7 @@
 	outputJSON  = "json"
 )
 
-// table prints rows in columns.
+// table prints rows in aligned columns.
 type table struct{ w *tabwriter.Writer }
 
 const columnGap = 2
@@ -36,14 +36,15 @@
 
 func (t *table) flush() { _ = t.w.Flush() }
 
-// printMessage prints an answer as JSON with the field names of its protobuf
+// printMessage prints a message as JSON with the field names of its protobuf
 // definition.
 func printMessage(out io.Writer, m proto.Message) error {
 	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		return err
 	}
-	// protojson varies its white space on purpose; scripts need it stable.
+	// protojson deliberately varies its white space. Reformatting makes the
+	// output stable for scripts.
 	return printJSON(out, json.RawMessage(data))
 }
 
@@ -53,8 +54,9 @@
 	return enc.Encode(v)
 }
 
-// printReach lists the zones and returns ExitPartial unless all confirmed.
-func printReach(out io.Writer, zones []*adminv1.ZoneReach, confirmed string) {
+// printZones prints for each zone how many of its VMs have confirmed. The text
+// confirmed describes the state of a zone where all have.
+func printZones(out io.Writer, zones []*adminv1.ZoneReach, confirmed string) {
 	t := newTable(out, "ZONE", "STATE", "VMS")
 	for _, z := range zones {
 		state := "not reached"
@@ -69,7 +71,7 @@
 	t.flush()
 }
 
-func reachCode(zones []*adminv1.ZoneReach) int {
+func zonesExitCode(zones []*adminv1.ZoneReach) int {
 	for _, z := range zones {
 		if !z.GetComplete() {
 			return ExitPartial
--- a/internal/cli/report_burn.go
+++ b/internal/cli/report_burn.go
@@ -18,7 +18,7 @@
 	example(c, "Merges the counters of all VMs. Exit code 4 means that a VM did not answer.",
 		"cuminwing report burn --server 10.0.0.1:7005 --html burn.html")
 	file := c.Flag("html", "Write the report as one HTML page.").PlaceHolder("FILE").String()
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.reportBurn(*file, out) }))
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.reportBurn(*file, out) }))
 }
 
 func (c *client) reportBurn(file string, out io.Writer) (int, error) {
@@ -40,7 +40,7 @@
 	return code, nil
 }
 
-// fetchBurn asks the VMs in turn.
+// fetchBurn queries the VMs in turn and returns the first report it receives.
 func (c *client) fetchBurn() (*burnv1.ReportResponse, error) {
 	var failures error
 	for _, address := range c.addresses {
@@ -93,7 +93,7 @@
 }
 
 func writeBurnPage(file string, report *burnv1.ReportResponse) error {
-	page, err := burnPage(report)
+	page, err := renderBurnPage(report)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/report_html.go
+++ b/internal/cli/report_html.go
@@ -21,10 +21,11 @@
 const (
 	plotWidth  = 26 * vg.Centimeter
 	plotHeight = 5 * vg.Centimeter
-	// plotMargin keeps the last label of the horizontal axis whole.
+	// plotMargin is the right margin in points. Without it the last label of
+	// the horizontal axis would be cut off.
 	plotMargin = 12
-	// maxPlots bounds the page; the rows with the highest burn come first in
-	// the table anyway.
+	// maxPlots limits the size of the page. Rows beyond the first maxPlots
+	// appear only in the table.
 	maxPlots = 40
 )
 
@@ -76,8 +77,9 @@
 	SVG   template.HTML
 }
 
-// burnPage renders the report as one page without outside references.
-func burnPage(report *burnv1.ReportResponse) ([]byte, error) {
+// renderBurnPage renders the report as one HTML page that loads no other
+// resources.
+func renderBurnPage(report *burnv1.ReportResponse) ([]byte, error) {
 	var plots []burnPlot
 	for _, row := range report.GetRows() {
 		if len(plots) == maxPlots {
@@ -100,8 +102,8 @@
 	return page.Bytes(), err
 }
 
-// plotLastHour draws the bad fraction per minute. It reports false if there
-// were no events.
+// plotLastHour plots the percentage of bad events per minute. It returns false
+// if there were no events.
 func plotLastHour(row *burnv1.Row) (template.HTML, bool, error) {
 	var points plotter.XYs
 	for i, fraction := range row.GetLastHour() {
@@ -120,28 +122,29 @@
 	if err != nil {
 		return "", false, err
 	}
-	allowed := 100 * (1 - row.GetTarget())
-	limit, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: allowed}, {X: 0, Y: allowed}})
+	allowedPercent := 100 * (1 - row.GetTarget())
+	limit, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: allowedPercent}, {X: 0, Y: allowedPercent}})
 	if err != nil {
 		return "", false, err
 	}
 	limit.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(plotter.NewGrid(), limit, line, scatter)
-	p.Y.Min, p.Y.Max = 0, max(2*allowed, 1.1*highest(points))
+	p.Y.Min, p.Y.Max = 0, max(2*allowedPercent, 1.1*maxY(points))
 	svg, err := renderSVG(p)
 	return svg, true, err
 }
 
-func highest(points plotter.XYs) float64 {
-	top := 0.0
+func maxY(points plotter.XYs) float64 {
+	maximum := 0.0
 	for _, p := range points {
-		top = math.Max(top, p.Y)
+		maximum = math.Max(maximum, p.Y)
 	}
-	return top
+	return maximum
 }
 
-// renderSVG returns the plot without the XML declaration, which is not allowed
-// inside HTML. The text of plots is our own, so it needs no escaping.
+// renderSVG returns the plot as SVG without the XML declaration, which is not
+// allowed inside HTML. All text in the plots comes from this package, so it
+// needs no escaping.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.Crop(draw.New(canvas), 0, -vg.Points(plotMargin), 0, 0))
@@ -151,7 +154,7 @@
 	}
 	_, svg, ok := strings.Cut(buf.String(), "<svg")
 	if !ok {
-		return "", fmt.Errorf("the plotting library wrote no svg element")
+		return "", fmt.Errorf("plotting library output contains no svg element")
 	}
 	return template.HTML("<svg" + svg), nil
 }
--- a/internal/cli/report_test.go
+++ b/internal/cli/report_test.go
@@ -8,7 +8,7 @@
 	burnv1 "github.com/cuminwing/cuminwing/proto/burn/v1"
 )
 
-func sampleBurn() *burnv1.ReportResponse {
+func sampleBurnReport() *burnv1.ReportResponse {
 	row := &burnv1.Row{
 		Objective: "grade-fast", Route: "grade", Workspace: "<yards>", Kind: "first_token",
 		Target: 0.95, BudgetLeft: -0.25, Alert: "ticket", Cause: "queue", Worst: true,
@@ -28,10 +28,10 @@
 	}
 }
 
-// Guards against a page that needs other files, shows names unescaped or
-// leaves out what is missing.
-func TestBurnPageStandsAlone(t *testing.T) {
-	page, err := burnPage(sampleBurn())
+// Guards against a page that loads other files, shows names unescaped or omits
+// the VMs that did not respond.
+func TestBurnPageIsSelfContained(t *testing.T) {
+	page, err := renderBurnPage(sampleBurnReport())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,11 +48,11 @@
 	}
 }
 
-// Guards against a table that hides alerts, the worst workspace or VMs that
-// did not answer.
-func TestBurnTableNamesWhatIsWrong(t *testing.T) {
+// Guards against a table that omits alerts, the worst workspace or VMs that did
+// not respond.
+func TestBurnTableShowsProblems(t *testing.T) {
 	var out bytes.Buffer
-	printBurn(sampleBurn(), &out)
+	printBurn(sampleBurnReport(), &out)
 	for _, want := range []string{"ticket", "worst", "queue", "-25.0%", "no answer"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("the table lacks %q:\n%s", want, out.String())
--- a/internal/cli/targets.go
+++ b/internal/cli/targets.go
@@ -19,21 +19,21 @@
 func addTargetsList(r *registry, group *kingpin.CmdClause) {
 	c := group.Command("list", "Lists the targets that a VM knows.")
 	example(c, "Lists the targets that the called VM knows, mostly those of its zone.", "cuminwing targets list --server 10.0.0.1:7005")
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.listTargets(out) }))
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.listTargets(out) }))
 }
 
 func (c *client) listTargets(out io.Writer) (int, error) {
-	answer, err := call(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.ListTargetsResponse, error) {
+	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.ListTargetsResponse, error) {
 		return s.ListTargets(ctx, &adminv1.ListTargetsRequest{})
 	})
 	if err != nil {
 		return ExitFailed, err
 	}
 	if c.output == outputJSON {
-		return ExitOK, printMessage(out, answer)
+		return ExitOK, printMessage(out, resp)
 	}
 	t := newTable(out, "ZONE", "TARGET", "KIND", "STATE", "MODEL", "VERSION", "INCARNATION", "ADDRESS")
-	for _, target := range answer.GetTargets() {
+	for _, target := range resp.GetTargets() {
 		t.row(target.GetZone(), target.GetId(), target.GetKind(), target.GetState(), target.GetModel(), target.GetVersion(),
 			fmt.Sprint(target.GetIncarnation()), target.GetAddress())
 	}
--- a/internal/cli/targets_drain.go
+++ b/internal/cli/targets_drain.go
@@ -15,20 +15,20 @@
 		"cuminwing targets drain engine-3 --server 10.0.0.1:7005")
 	id := c.Arg("target", "Target to drain.").Required().String()
 	resume := c.Flag("resume", "Return the target to service.").Bool()
-	r.add(c, r.connection.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.drain(*id, *resume, out) }))
+	r.add(c, r.flags.command(func(cl *client, out, _ io.Writer) (int, error) { return cl.drain(*id, *resume, out) }))
 }
 
 func (c *client) drain(id string, resume bool, out io.Writer) (int, error) {
 	request := &adminv1.DrainTargetRequest{Id: id, EditId: newEditID(), Resume: resume}
-	answer, err := call(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.DrainTargetResponse, error) {
+	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.DrainTargetResponse, error) {
 		return s.DrainTarget(ctx, request)
 	})
 	if err != nil {
 		return ExitFailed, err
 	}
 	if c.output == outputJSON {
-		return reachCode(answer.GetZones()), printMessage(out, answer)
+		return zonesExitCode(resp.GetZones()), printMessage(out, resp)
 	}
-	printReach(out, answer.GetZones(), "confirmed")
-	return reachCode(answer.GetZones()), nil
+	printZones(out, resp.GetZones(), "confirmed")
+	return zonesExitCode(resp.GetZones()), nil
 }
--- a/internal/loadgen/caller.go
+++ b/internal/loadgen/caller.go
@@ -11,45 +11,51 @@
 	"time"
 )
 
-// Result is what one request came to.
+// Result is the outcome of one request.
 type Result struct {
 	Request Request
-	// Status is the HTTP status, zero if there was no answer.
+	// Status is the HTTP status, zero if there was no response.
 	Status int
-	// Code is the error code of a refusal or of an error event.
+	// Code is the error code of an error response or of an error event in the
+	// stream.
 	Code string
-	// Run is the stated run state of a refusal.
-	Run string
-	// FirstToken and Total are times from sending.
+	// RunState is the value of the Cuminwing-Run header of an error response.
+	// It says whether the request was executed.
+	RunState string
+	// FirstToken and Total are the times from sending the request to the first
+	// token and to the end of the response.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Started is when it was sent, counted from the start.
-	Started time.Duration
+	// SentOffset is when the request was sent, relative to the start of the
+	// run.
+	SentOffset time.Duration
 	// Tokens is the number of token events.
 	Tokens int
-	// Broken says which promise the answer broke; empty if none.
-	Broken string
+	// Violation describes the guarantee that the response violated; empty if
+	// none.
+	Violation string
 }
 
-// Caller sends requests to the VMs.
+// Caller sends requests to the VMs and checks the responses.
 type Caller struct {
-	// Client sends them.
+	// Client sends the HTTP requests.
 	Client *http.Client
-	// URLs are the callers' addresses of the VMs.
+	// URLs are the base URLs of the VMs' caller listeners.
 	URLs []string
-	// Expect returns the whole text that the engine must answer.
-	Expect func(messages []byte, tokens int) string
+	// ExpectedText returns the complete text that the engine must generate for
+	// the messages and the number of tokens.
+	ExpectedText func(messages []byte, tokens int) string
 }
 
-// Complete sends one request and checks the answer.
-func (c *Caller) Complete(ctx context.Context, p *Profile, r Request) Result {
+// SendRequest sends one model request and checks the response.
+func (c *Caller) SendRequest(ctx context.Context, p *Profile, r Request) Result {
 	result := Result{Request: r}
 	m := p.Models[r.Model]
 	messages, _ := json.Marshal([]map[string]string{{"role": "user", "content": r.Prompt}})
 	body, _ := json.Marshal(map[string]any{
 		"model": m.Name, "stream": true, "max_tokens": m.AnswerTokens, "messages": json.RawMessage(messages),
 	})
-	url := c.URLs[r.VM%uint64(len(c.URLs))] + "/v1/chat/completions"
+	url := c.URLs[r.VMSelector%uint64(len(c.URLs))] + "/v1/chat/completions"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		result.Code = err.Error()
@@ -66,14 +72,14 @@
 	defer resp.Body.Close()
 	result.Status = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
-		result.Run = resp.Header.Get("Cuminwing-Run")
+		result.RunState = resp.Header.Get("Cuminwing-Run")
 		result.Code = errorCode(resp)
 		return result
 	}
-	answer := readStream(resp, start, &result)
+	stream := readStream(resp, start, &result)
 	result.Total = time.Since(start)
-	result.Broken = answer.check(c.Expect(messages, m.AnswerTokens))
-	result.Code = answer.code
+	result.Violation = stream.check(c.ExpectedText(messages, m.AnswerTokens))
+	result.Code = stream.errorCode
 	return result
 }
 
@@ -91,12 +97,12 @@
 	} `json:"error"`
 }
 
-// streamed is a stream as the caller saw it.
-type streamed struct {
-	text   strings.Builder
-	finish string
-	done   int
-	code   string
+// receivedStream accumulates a response stream as the caller received it.
+type receivedStream struct {
+	text         strings.Builder
+	finishReason string
+	doneMarkers  int
+	errorCode    string
 }
 
 type streamEvent struct {
@@ -111,8 +117,8 @@
 
 const maxEventBytes = 1 << 20
 
-func readStream(resp *http.Response, start time.Time, result *Result) *streamed {
-	s := &streamed{}
+func readStream(resp *http.Response, start time.Time, result *Result) *receivedStream {
+	s := &receivedStream{}
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(nil, maxEventBytes)
 	for scanner.Scan() {
@@ -121,22 +127,22 @@
 			continue
 		}
 		if data == "[DONE]" {
-			s.done++
+			s.doneMarkers++
 			continue
 		}
-		s.add(data, start, result)
+		s.addEvent(data, start, result)
 	}
 	return s
 }
 
-func (s *streamed) add(data string, start time.Time, result *Result) {
+func (s *receivedStream) addEvent(data string, start time.Time, result *Result) {
 	var event streamEvent
 	if err := json.Unmarshal([]byte(data), &event); err != nil {
-		s.code = "unreadable"
+		s.errorCode = "unreadable"
 		return
 	}
 	if event.Error.Code != "" {
-		s.code = event.Error.Code
+		s.errorCode = event.Error.Code
 	}
 	for _, choice := range event.Choices {
 		if choice.Delta.Content != "" {
@@ -147,29 +153,29 @@
 		}
 		s.text.WriteString(choice.Delta.Content)
 		if choice.FinishReason != nil {
-			s.finish = *choice.FinishReason
+			s.finishReason = *choice.FinishReason
 		}
 	}
 }
 
-// check returns the broken promise. A stream with an error event is a failed
-// answer, not a broken promise.
-func (s *streamed) check(want string) string {
+// check returns the violated guarantee, or an empty string. A stream that ends
+// with an error event is a failed response, which violates no guarantee.
+func (s *receivedStream) check(want string) string {
 	got := s.text.String()
-	if s.code != "" {
-		if s.done > 0 {
+	if s.errorCode != "" {
+		if s.doneMarkers > 0 {
 			return "a failed stream ends with [DONE]"
 		}
 		if !strings.HasPrefix(want, got) {
-			return "a failed stream has text of another answer"
+			return "a failed stream has text that is not a prefix of the expected text"
 		}
 		return ""
 	}
-	if s.done != 1 || s.finish == "" {
-		return fmt.Sprintf("a stream without error has %d [DONE] and finish reason %q", s.done, s.finish)
+	if s.doneMarkers != 1 || s.finishReason == "" {
+		return fmt.Sprintf("a stream without error has %d [DONE] markers and finish reason %q", s.doneMarkers, s.finishReason)
 	}
 	if got != want {
-		return fmt.Sprintf("a whole stream has %d bytes of text that differ from the %d expected", len(got), len(want))
+		return fmt.Sprintf("a complete stream has %d bytes of text that differ from the expected %d bytes", len(got), len(want))
 	}
 	return ""
 }
--- a/internal/loadgen/measure.go
+++ b/internal/loadgen/measure.go
@@ -12,72 +12,78 @@
 	"github.com/cuminwing/cuminwing/internal/config"
 )
 
-// Measures are the five measures of a run, and what they are made of.
-type Measures struct {
+// Summary holds the five measures of a run, the counts behind them, and the
+// violated guarantees.
+type Summary struct {
 	// Requests, Complete, Refused and Failed count model requests.
 	Requests int `json:"requests"`
 	Complete int `json:"complete"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
-	// HitRate is the part of the prompt tokens that engines had cached.
+	// HitRate is the fraction of the prompt tokens that engines had cached.
 	HitRate float64 `json:"prefix_hit_rate"`
 	// FirstToken is the time to first token in milliseconds.
 	FirstToken Quantiles `json:"first_token_ms"`
-	// Recomputed is the part of the prompt tokens that was computed although
-	// the same block had been computed before.
+	// Recomputed is the fraction of the prompt tokens that engines computed
+	// although the same block had been computed before.
 	Recomputed float64 `json:"recomputed_fraction"`
-	// Wasted is the part of the prompt tokens spent on attempts that failed.
+	// Wasted is the ratio of tokens spent on failed attempts to prompt tokens.
 	Wasted float64 `json:"wasted_fraction"`
-	// WorstRatio is the p99 time to first token of the worst-served
-	// workspace over the median workspace's, among those inside their rate.
+	// WorstRatio is the highest p99 time to first token of any workspace
+	// divided by that of the median workspace. Only workspaces whose load
+	// stays within their rate are compared.
 	WorstRatio     float64 `json:"worst_workspace_ratio"`
 	WorstWorkspace string  `json:"worst_workspace"`
-	// InRate and RefusedInRate count requests that came while the workspace
-	// was inside its rate and burst, over the workspaces that stay inside on
-	// the whole. A workspace that exceeds its rate competes with itself for
-	// the same tokens; its own row has the count.
+	// InRate counts the requests sent while the workspace was within its rate
+	// and burst, RefusedInRate those of them that were refused for the rate.
+	// Only workspaces whose overall load stays within their rate are included.
+	// In a workspace that exceeds its rate, the requests compete with each
+	// other for the same tokens; its own row has the counts.
 	InRate        int `json:"in_rate_requests"`
 	RefusedInRate int `json:"refused_in_rate"`
-	// OverRate is the highest number of tokens that a workspace got above
-	// rate x T + burst; zero or less keeps the promise.
-	OverRate float64 `json:"tokens_over_rate_and_burst"`
+	// ExcessTokens is the highest number of tokens that a workspace received
+	// above rate x T + burst, for any period T. The rate guarantee holds if it
+	// is zero or less.
+	ExcessTokens float64 `json:"tokens_over_rate_and_burst"`
 	// Orders is the number of at-most-once orders.
 	Orders int `json:"orders"`
-	// Codes counts refusals and failures by code.
+	// Codes counts refusals and failures by error code.
 	Codes map[string]int `json:"codes,omitempty"`
 	// Workspaces has a row per workspace.
-	Workspaces []WorkspaceMeasures `json:"workspaces"`
-	// Broken lists broken promises.
-	Broken []string `json:"broken_promises,omitempty"`
+	Workspaces []WorkspaceSummary `json:"workspaces"`
+	// Violations lists the violated guarantees.
+	Violations []string `json:"broken_promises,omitempty"`
 }
 
-// WorkspaceMeasures is the part of one workspace.
-type WorkspaceMeasures struct {
+// WorkspaceSummary holds the measures of one workspace.
+type WorkspaceSummary struct {
 	Name       string    `json:"name"`
 	Requests   int       `json:"requests"`
 	Complete   int       `json:"complete"`
 	Refused    int       `json:"refused"`
 	FirstToken Quantiles `json:"first_token_ms"`
-	// InRate and RefusedInRate are as in Measures.
+	// InRate and RefusedInRate are defined as in Summary, but counted for
+	// every workspace.
 	InRate        int `json:"in_rate_requests"`
 	RefusedInRate int `json:"refused_in_rate"`
 }
 
-// Quantiles of a latency in milliseconds.
+// Quantiles holds quantiles of a latency in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// Counters are sums over all VMs, read before and after a run.
+// Counters holds token counters summed over all VMs. They are read before and
+// after a run.
 type Counters struct {
 	PromptTokens int64
 	CachedTokens int64
 	WastedTokens int64
 }
 
-// Since returns what was counted after earlier.
+// Since returns the increase of the counters since earlier.
 func (c Counters) Since(earlier Counters) Counters {
 	return Counters{
 		PromptTokens: c.PromptTokens - earlier.PromptTokens,
@@ -86,8 +92,9 @@
 	}
 }
 
-// Run sends the planned requests at their times, whether or not earlier ones
-// have been answered, and returns the results in order of planning.
+// Run sends the planned requests as an open loop: each at its planned time,
+// without waiting for earlier responses. It returns the results in the order of
+// the plan.
 func (c *Caller) Run(ctx context.Context, p *Profile, plan []Request, progress func(done, sent int)) []Result {
 	results := make([]Result, len(plan))
 	start := time.Now()
@@ -95,14 +102,14 @@
 	done := 0
 	var sends sync.WaitGroup
 	for i, r := range plan {
-		if !sleepUntil(ctx, start.Add(r.At)) {
+		if !sleepUntil(ctx, start.Add(r.SendOffset)) {
 			results = results[:i]
 			break
 		}
 		sends.Go(func() {
-			started := time.Since(start)
-			result := c.Complete(ctx, p, r)
-			result.Started = started
+			sentOffset := time.Since(start)
+			result := c.SendRequest(ctx, p, r)
+			result.SentOffset = sentOffset
 			mu.Lock()
 			defer mu.Unlock()
 			results[i] = result
@@ -125,65 +132,65 @@
 	}
 }
 
-// Measure evaluates the results. Results that started before warmup count
-// only for the checks of promises.
-func Measure(p *Profile, d config.Document, results []Result, used Counters, warmup time.Duration) Measures {
-	m := Measures{Codes: make(map[string]int)}
+// Summarize evaluates the results. Requests sent before the end of the warm-up
+// are only checked for violated guarantees.
+func Summarize(p *Profile, d config.Document, results []Result, counters Counters, warmup time.Duration) Summary {
+	s := Summary{Codes: make(map[string]int)}
 	var latencies []time.Duration
 	perWorkspace := make([][]time.Duration, len(p.Workspaces))
-	m.Workspaces = make([]WorkspaceMeasures, len(p.Workspaces))
+	s.Workspaces = make([]WorkspaceSummary, len(p.Workspaces))
 	for i, w := range p.Workspaces {
-		m.Workspaces[i].Name = w.Name
+		s.Workspaces[i].Name = w.Name
 	}
 	for _, r := range results {
-		if r.Broken != "" {
-			m.Broken = append(m.Broken, r.Broken)
+		if r.Violation != "" {
+			s.Violations = append(s.Violations, r.Violation)
 		}
-		if r.Started < warmup {
+		if r.SentOffset < warmup {
 			continue
 		}
-		row := &m.Workspaces[r.Request.Workspace]
-		m.count(r, row)
+		row := &s.Workspaces[r.Request.Workspace]
+		s.countResult(r, row)
 		if r.FirstToken > 0 {
 			latencies = append(latencies, r.FirstToken)
 			perWorkspace[r.Request.Workspace] = append(perWorkspace[r.Request.Workspace], r.FirstToken)
 		}
 	}
-	m.FirstToken = quantiles(latencies)
-	for i := range m.Workspaces {
-		m.Workspaces[i].FirstToken = quantiles(perWorkspace[i])
+	s.FirstToken = quantiles(latencies)
+	for i := range s.Workspaces {
+		s.Workspaces[i].FirstToken = quantiles(perWorkspace[i])
 	}
-	m.worst(p)
-	m.rates(p, d, results, warmup)
-	if used.PromptTokens > 0 {
-		m.HitRate = float64(used.CachedTokens) / float64(used.PromptTokens)
-		m.Wasted = float64(used.WastedTokens) / float64(used.PromptTokens)
-		m.Recomputed = max(0, float64(used.PromptTokens-used.CachedTokens-uniqueTokens(p, results))/float64(used.PromptTokens))
+	s.setWorstWorkspace(p)
+	s.checkRates(p, d, results, warmup)
+	if counters.PromptTokens > 0 {
+		s.HitRate = float64(counters.CachedTokens) / float64(counters.PromptTokens)
+		s.Wasted = float64(counters.WastedTokens) / float64(counters.PromptTokens)
+		s.Recomputed = max(0, float64(counters.PromptTokens-counters.CachedTokens-uniqueTokens(p, results))/float64(counters.PromptTokens))
 	}
-	return m
+	return s
 }
 
-func (m *Measures) count(r Result, row *WorkspaceMeasures) {
-	m.Requests++
+func (s *Summary) countResult(r Result, row *WorkspaceSummary) {
+	s.Requests++
 	row.Requests++
 	switch {
 	case r.Status == 200 && r.Code == "":
-		m.Complete++
+		s.Complete++
 		row.Complete++
-	case r.Run == "not-run":
-		m.Refused++
+	case r.RunState == "not-run":
+		s.Refused++
 		row.Refused++
-		m.Codes[r.Code]++
+		s.Codes[r.Code]++
 	default:
-		m.Failed++
-		m.Codes[r.Code]++
+		s.Failed++
+		s.Codes[r.Code]++
 	}
 }
 
-// worst compares the workspaces that stay inside their rate.
-func (m *Measures) worst(p *Profile) {
-	var inRate []WorkspaceMeasures
-	for i, w := range m.Workspaces {
+// setWorstWorkspace compares the workspaces whose load stays within their rate.
+func (s *Summary) setWorstWorkspace(p *Profile) {
+	var inRate []WorkspaceSummary
+	for i, w := range s.Workspaces {
 		if p.Workspaces[i].RateFactor >= 1 && w.Complete > 0 {
 			inRate = append(inRate, w)
 		}
@@ -191,65 +198,68 @@
 	if len(inRate) == 0 {
 		return
 	}
-	slices.SortFunc(inRate, func(a, b WorkspaceMeasures) int { return cmp.Compare(a.FirstToken.P99, b.FirstToken.P99) })
+	slices.SortFunc(inRate, func(a, b WorkspaceSummary) int { return cmp.Compare(a.FirstToken.P99, b.FirstToken.P99) })
 	worst := inRate[len(inRate)-1]
-	m.WorstWorkspace = worst.Name
-	m.WorstRatio = worst.FirstToken.P99 / inRate[len(inRate)/2].FirstToken.P99
+	s.WorstWorkspace = worst.Name
+	s.WorstRatio = worst.FirstToken.P99 / inRate[len(inRate)/2].FirstToken.P99
 }
 
-// rates follows each workspace's bucket as if it were one: a refusal counts as
-// in rate if the bucket had the tokens, and admitted tokens must fit into it.
-func (m *Measures) rates(p *Profile, d config.Document, results []Result, warmup time.Duration) {
+// checkRates simulates one token bucket per workspace for the whole service. A
+// refusal counts as in rate if the bucket had enough tokens for the request. The
+// tokens of complete responses are compared with rate and burst over all periods.
+func (s *Summary) checkRates(p *Profile, d config.Document, results []Result, warmup time.Duration) {
 	for i, w := range p.Workspaces {
 		rate := d.Rates[w.Name]
-		level, last := rate.BurstTokens, time.Duration(0)
+		tokensAvailable, last := rate.BurstTokens, time.Duration(0)
 		sum, lowest := 0.0, 0.0
-		for _, r := range byStart(results, i) {
-			level = min(rate.BurstTokens, level+rate.RateTokensPerSecond*(r.Started-last).Seconds())
-			last = r.Started
+		for _, r := range sortedBySendTime(results, i) {
+			tokensAvailable = min(rate.BurstTokens, tokensAvailable+rate.RateTokensPerSecond*(r.SentOffset-last).Seconds())
+			last = r.SentOffset
 			tokens := chargedTokens(p, r)
-			inside := level >= tokens
-			if inside {
-				level -= tokens
+			inRate := tokensAvailable >= tokens
+			if inRate {
+				tokensAvailable -= tokens
 			}
-			if inside && r.Started >= warmup {
-				m.Workspaces[i].InRate++
+			if inRate && r.SentOffset >= warmup {
+				s.Workspaces[i].InRate++
 				if r.Code == "rate_limit_exceeded" {
-					m.Workspaces[i].RefusedInRate++
+					s.Workspaces[i].RefusedInRate++
 				}
 			}
 			if r.Status == 200 && r.Code == "" {
-				refill := rate.RateTokensPerSecond * r.Started.Seconds()
+				refill := rate.RateTokensPerSecond * r.SentOffset.Seconds()
 				lowest = min(lowest, sum-refill)
 				sum += tokens
-				m.OverRate = max(m.OverRate, sum-refill-lowest-rate.BurstTokens)
+				s.ExcessTokens = max(s.ExcessTokens, sum-refill-lowest-rate.BurstTokens)
 			}
 		}
 		if w.RateFactor >= 1 {
-			m.InRate += m.Workspaces[i].InRate
-			m.RefusedInRate += m.Workspaces[i].RefusedInRate
+			s.InRate += s.Workspaces[i].InRate
+			s.RefusedInRate += s.Workspaces[i].RefusedInRate
 		}
 	}
 }
 
-func byStart(results []Result, workspace int) []Result {
+func sortedBySendTime(results []Result, workspace int) []Result {
 	var out []Result
 	for _, r := range results {
 		if r.Request.Workspace == workspace {
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b Result) int { return cmp.Compare(a.Started, b.Started) })
+	slices.SortFunc(out, func(a, b Result) int { return cmp.Compare(a.SentOffset, b.SentOffset) })
 	return out
 }
 
-// chargedTokens is what the request costs: its prompt and its answer.
+// chargedTokens returns the tokens charged for the request: its prompt and the
+// maximum length of its answer.
 func chargedTokens(p *Profile, r Result) float64 {
 	return float64(len(r.Request.Prompt)/bytesPerToken + p.Models[r.Request.Model].AnswerTokens)
 }
 
-// uniqueTokens is the prefill that no cache can save: every block once per
-// workspace and model.
+// uniqueTokens returns the number of prompt tokens that must be computed even
+// with a perfect cache: every block once per workspace and model, and the
+// incomplete last block of every prompt.
 func uniqueTokens(p *Profile, results []Result) int64 {
 	seen := make(map[uint64]struct{})
 	var sum int64
@@ -257,12 +267,12 @@
 		if r.Status != 200 {
 			continue
 		}
-		text := r.Request.Prompt
+		prompt := r.Request.Prompt
 		scope := p.Workspaces[r.Request.Workspace].Name + "/" + p.Models[r.Request.Model].Name + "/"
-		whole := len(text) / blockBytes * blockBytes
-		sum += int64((len(text) - whole) / bytesPerToken)
-		for end := blockBytes; end <= whole; end += blockBytes {
-			key := xxhash.Sum64String(scope + text[:end])
+		fullBlockBytes := len(prompt) / blockBytes * blockBytes
+		sum += int64((len(prompt) - fullBlockBytes) / bytesPerToken)
+		for end := blockBytes; end <= fullBlockBytes; end += blockBytes {
+			key := xxhash.Sum64String(scope + prompt[:end])
 			if _, ok := seen[key]; !ok {
 				seen[key] = struct{}{}
 				sum += BlockTokens
--- a/internal/loadgen/orders.go
+++ b/internal/loadgen/orders.go
@@ -11,27 +11,31 @@
 	"time"
 )
 
-// Order is one at-most-once call with its resends.
+// Order is one at-most-once call and its resends.
 type Order struct {
-	// Key is the Idempotency-Key.
+	// Key is the value of the Idempotency-Key header.
 	Key string
-	// Answers lists the run state or "done" for every send.
-	Answers []string
-	// Bodies lists the answers of finished sends.
-	Bodies []string
+	// Outcomes has one entry per send: orderDone, orderNoResponse or the run
+	// state of an error response.
+	Outcomes []string
+	// ResponseBodies lists the response bodies of the sends that ended with
+	// orderDone.
+	ResponseBodies []string
 }
 
 const (
-	// ordersPerSecond is the rate of orders, besides the model requests.
+	// ordersPerSecond is the rate of orders, in addition to the model
+	// requests.
 	ordersPerSecond = 2
-	// resendShare is the part of the orders that is sent again.
-	resendShare = 0.5
-	// orderPatience is how long a caller waits for one answer.
-	orderPatience = 10 * time.Second
+	// resendFraction is the fraction of the orders that is sent twice.
+	resendFraction = 0.5
+	// orderTimeout limits how long a caller waits for one response.
+	orderTimeout = 10 * time.Second
 )
 
-// RunOrders sends orders at a steady rate until ctx ends and returns them. Half
-// of them are sent twice at about the same time, through different VMs.
+// RunOrders sends orders at a constant rate for the duration, or until ctx is
+// done, and returns them. Half of them are sent twice within 100 ms, through
+// different VMs.
 func (c *Caller) RunOrders(ctx context.Context, p *Profile, seed uint64, duration time.Duration) []*Order {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	ticker := time.NewTicker(time.Second / ordersPerSecond)
@@ -50,13 +54,13 @@
 		orders = append(orders, o)
 		first := rng.IntN(len(c.URLs))
 		var mu sync.Mutex
-		sends.Go(func() { c.send(ctx, p, o, &mu, first) })
-		if rng.Float64() < resendShare {
+		sends.Go(func() { c.sendOrder(ctx, p, o, &mu, first) })
+		if rng.Float64() < resendFraction {
 			other := (first + 1 + rng.IntN(max(1, len(c.URLs)-1))) % len(c.URLs)
 			pause := time.Duration(rng.IntN(100)) * time.Millisecond
 			sends.Go(func() {
 				time.Sleep(pause)
-				c.send(ctx, p, o, &mu, other)
+				c.sendOrder(ctx, p, o, &mu, other)
 			})
 		}
 	}
@@ -64,40 +68,40 @@
 	return orders
 }
 
-func (c *Caller) send(ctx context.Context, p *Profile, o *Order, mu *sync.Mutex, vm int) {
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+func (c *Caller) sendOrder(ctx context.Context, p *Profile, o *Order, mu *sync.Mutex, vm int) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	state, body := c.sendOnce(ctx, p, o.Key, vm)
+	state, body := c.postOrder(ctx, p, o.Key, vm)
 	mu.Lock()
 	defer mu.Unlock()
-	o.Answers = append(o.Answers, state)
+	o.Outcomes = append(o.Outcomes, state)
 	if state == orderDone {
-		o.Bodies = append(o.Bodies, body)
+		o.ResponseBodies = append(o.ResponseBodies, body)
 	}
 }
 
-// States of a sent order besides the run states of refusals.
+// Outcomes of a send other than the run states of error responses.
 const (
-	orderDone = "done"
-	orderLost = "no answer"
+	orderDone       = "done"
+	orderNoResponse = "no answer"
 )
 
-func (c *Caller) sendOnce(ctx context.Context, p *Profile, key string, vm int) (state, body string) {
+func (c *Caller) postOrder(ctx context.Context, p *Profile, key string, vm int) (state, body string) {
 	url := c.URLs[vm] + "/" + p.OrderService + "/" + key
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("stack for "+key))
 	if err != nil {
-		return orderLost, ""
+		return orderNoResponse, ""
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Workspaces[0].Key)
 	req.Header.Set("Idempotency-Key", key)
 	resp, err := c.Client.Do(req)
 	if err != nil {
-		return orderLost, ""
+		return orderNoResponse, ""
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return orderLost, ""
+		return orderNoResponse, ""
 	}
 	if resp.StatusCode == http.StatusOK {
 		return orderDone, string(data)
@@ -105,30 +109,30 @@
 	return resp.Header.Get("Cuminwing-Run"), ""
 }
 
-// CheckOrders returns the broken promises. Executions returns how often the
-// service ran the call with a key.
+// CheckOrders returns the violations of at-most-once execution. The function
+// executions returns how often the service executed the order with that key.
 func CheckOrders(orders []*Order, executions func(key string) int) []string {
-	var broken []string
+	var violations []string
 	for _, o := range orders {
 		n := executions(o.Key)
 		if n > 1 {
-			broken = append(broken, fmt.Sprintf("%s ran %d times", o.Key, n))
+			violations = append(violations, fmt.Sprintf("%s ran %d times", o.Key, n))
 		}
-		allNotRun := len(o.Answers) > 0
-		for _, a := range o.Answers {
-			allNotRun = allNotRun && a == "not-run"
+		allNotRun := len(o.Outcomes) > 0
+		for _, outcome := range o.Outcomes {
+			allNotRun = allNotRun && outcome == "not-run"
 		}
 		if allNotRun && n > 0 {
-			broken = append(broken, fmt.Sprintf("%s ran, but every answer says not-run", o.Key))
+			violations = append(violations, fmt.Sprintf("%s ran, but every response says not-run", o.Key))
 		}
-		if len(o.Bodies) > 0 && n == 0 {
-			broken = append(broken, fmt.Sprintf("%s was answered, but never ran", o.Key))
+		if len(o.ResponseBodies) > 0 && n == 0 {
+			violations = append(violations, fmt.Sprintf("%s got a response, but never ran", o.Key))
 		}
-		for _, b := range o.Bodies {
-			if b != o.Bodies[0] {
-				broken = append(broken, o.Key+" got two different answers")
+		for _, b := range o.ResponseBodies {
+			if b != o.ResponseBodies[0] {
+				violations = append(violations, o.Key+" got two different responses")
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -8,22 +8,25 @@
 
 // Request is one planned request.
 type Request struct {
-	// At is when it is sent, counted from the start.
-	At time.Duration
-	// Workspace and Model are indexes into the profile.
+	// SendOffset is when to send the request, relative to the start of the
+	// run.
+	SendOffset time.Duration
+	// Workspace and Model are indexes into the lists of the profile.
 	Workspace int
 	Model     int
-	// Prompt is the text.
+	// Prompt is the text of the prompt.
 	Prompt string
-	// VM is a random number that selects the VM, as a load balancer would.
-	VM uint64
+	// VMSelector is a random number that selects the VM, as a random load
+	// balancer would.
+	VMSelector uint64
 }
 
-// hotShare is the part of the requests that go to the hot document.
-const hotShare = 0.4
+// hotFraction is the fraction of the requests that always use the hot document.
+// The others use a random document.
+const hotFraction = 0.4
 
-// Plan returns the requests of a profile over a duration. The same seed gives
-// the same requests.
+// Plan returns the requests of a profile over a duration, with exponentially
+// distributed intervals. The same seed gives the same requests.
 func Plan(p *Profile, seed uint64, duration time.Duration) []Request {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var out []Request
@@ -34,16 +37,16 @@
 		if at >= duration {
 			return out
 		}
-		out = append(out, planOne(p, rng, at))
+		out = append(out, planRequest(p, rng, at))
 	}
 }
 
-func planOne(p *Profile, rng *rand.Rand, at time.Duration) Request {
-	r := Request{At: at, Workspace: pickWorkspace(p, rng), Model: pickModel(p, rng), VM: rng.Uint64()}
+func planRequest(p *Profile, rng *rand.Rand, at time.Duration) Request {
+	r := Request{SendOffset: at, Workspace: pickWorkspace(p, rng), Model: pickModel(p, rng), VMSelector: rng.Uint64()}
 	m := p.Models[r.Model]
-	// The hot document shifts without warning.
-	document := int(at/shiftEvery) % m.Documents
-	if rng.Float64() >= hotShare {
+	// The hot document changes abruptly after every hotShiftInterval.
+	document := int(at/hotShiftInterval) % m.Documents
+	if rng.Float64() >= hotFraction {
 		document = rng.IntN(m.Documents)
 	}
 	r.Prompt = prompt(rng, p.Workspaces[r.Workspace].Name, m, document)
@@ -51,15 +54,15 @@
 }
 
 func pickWorkspace(p *Profile, rng *rand.Rand) int {
-	return pickShare(rng, p.Workspaces, func(w Workspace) float64 { return w.Share })
+	return pickWeighted(rng, p.Workspaces, func(w Workspace) float64 { return w.RequestShare })
 }
 
 func pickModel(p *Profile, rng *rand.Rand) int {
-	return pickShare(rng, p.Models, func(m Model) float64 { return m.Share })
+	return pickWeighted(rng, p.Models, func(m Model) float64 { return m.RequestShare })
 }
 
-// pickShare returns the index of a random item, by the shares of the items.
-func pickShare[T any](rng *rand.Rand, items []T, share func(T) float64) int {
+// pickWeighted returns the index of a random item, weighted by share.
+func pickWeighted[T any](rng *rand.Rand, items []T, share func(T) float64) int {
 	x := rng.Float64()
 	for i, item := range items {
 		if x -= share(item); x < 0 {
--- a/internal/loadgen/profile.go
+++ b/internal/loadgen/profile.go
@@ -1,6 +1,6 @@
-// Package loadgen makes load for a running service: open-loop arrivals from a
-// seed, nested hot prefixes, workspaces of which one exceeds its rate, and
-// at-most-once orders with resends. It checks every answer on the caller's
+// Package loadgen generates load for a running service: seeded open-loop
+// arrivals, nested hot prefixes, workspaces of which one exceeds its rate, and
+// at-most-once orders with resends. It checks every response on the caller's
 // side.
 package loadgen
 
@@ -14,65 +14,65 @@
 	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
-// Prompts are a tenth of the real length, and so are blocks and prefill
-// speeds, so that one machine can carry the load in real proportions.
+// Prompt lengths, block sizes and prefill speeds are a tenth of the real ones,
+// so that one machine can carry the load with realistic ratios.
 const (
-	// BlockTokens is the number of tokens in a cached block.
+	// BlockTokens is the number of tokens in a cache block.
 	BlockTokens = 100
-	// EngineRate is the prefill speed of an engine in tokens per second, a
+	// PrefillRate is the prefill speed of an engine in tokens per second, a
 	// tenth of 30,000.
-	EngineRate    = 3000
+	PrefillRate   = 3000
 	bytesPerToken = 4
 	blockBytes    = BlockTokens * bytesPerToken
 )
 
 // Profile describes the load of one deployment.
 type Profile struct {
-	// Name is the deployment.
+	// Name is the name of the deployment.
 	Name string
-	// Zones are the zones with their VM slots.
+	// Zones maps the names of the zones to their region and VM slots.
 	Zones map[string]config.Zone
-	// Models lists the models with the engines per zone.
-	Models []Model
-	// Workspaces lists the workspaces.
+	// Models lists the models with their engines per zone.
+	Models     []Model
 	Workspaces []Workspace
-	// OrderService is the plain service whose calls run at most once.
+	// OrderService is the name of a service other than a model whose calls run
+	// at most once.
 	OrderService string
-	// RequestsPerSecond is the arrival rate of all workspaces together.
+	// RequestsPerSecond is the total arrival rate of all workspaces.
 	RequestsPerSecond float64
 }
 
 // Model is one model of a profile.
 type Model struct {
-	// Name is the model.
 	Name string
-	// Class is the class of its route.
+	// Class is the priority class of the model's route.
 	Class string
 	// Engines is the number of engines per zone.
 	Engines map[string]int
-	// Share is the part of the requests that go to it.
-	Share float64
+	// RequestShare is the fraction of the requests that use the model.
+	RequestShare float64
 	// PromptBlocks is the length of a prompt in blocks.
 	PromptBlocks int
-	// AnswerTokens is the length of an answer.
+	// AnswerTokens is the length of an answer in tokens.
 	AnswerTokens int
-	// Documents is the number of long documents that prompts start with.
+	// Documents is the number of long documents of which each prompt contains
+	// one.
 	Documents int
 }
 
 // Workspace is one workspace of a profile.
 type Workspace struct {
-	// Name is the workspace.
 	Name string
-	// Share is the part of the requests that it sends.
-	Share float64
-	// RateFactor is its rate over what it sends: below 1 it exceeds its rate.
+	// RequestShare is the fraction of the requests that the workspace sends.
+	RequestShare float64
+	// RateFactor is the workspace's rate limit divided by its mean load. Below
+	// 1, its load exceeds the limit.
 	RateFactor float64
-	// Key is its caller key.
+	// Key is the caller key of the workspace.
 	Key string
 }
 
-// Profiles returns the deployments that the tool knows.
+// Profiles returns the known profiles by name.
 func Profiles() map[string]Profile {
 	return map[string]Profile{"verband": verband(), "zielnik": zielnik()}
 }
@@ -86,8 +86,8 @@
 			"nue-a": {Region: "franken", VMSlots: 3},
 		},
 		Models: []Model{
-			{Name: "gutachter", Class: config.ClassInteractive, Engines: map[string]int{"muc-a": 3, "muc-b": 3, "nue-a": 3}, Share: 0.8, PromptBlocks: 24, AnswerTokens: 30, Documents: 12},
-			{Name: "lagerbuch", Class: config.ClassInteractive, Engines: map[string]int{"muc-a": 1, "muc-b": 1, "nue-a": 1}, Share: 0.2, PromptBlocks: 6, AnswerTokens: 20, Documents: 6},
+			{Name: "gutachter", Class: config.ClassInteractive, Engines: map[string]int{"muc-a": 3, "muc-b": 3, "nue-a": 3}, RequestShare: 0.8, PromptBlocks: 24, AnswerTokens: 30, Documents: 12},
+			{Name: "lagerbuch", Class: config.ClassInteractive, Engines: map[string]int{"muc-a": 1, "muc-b": 1, "nue-a": 1}, RequestShare: 0.2, PromptBlocks: 6, AnswerTokens: 20, Documents: 6},
 		},
 		Workspaces:        workspaces("dispatch", "yard-muenchen", "yard-nuernberg", "yard-augsburg", "heritage-lines"),
 		OrderService:      "reservations",
@@ -104,8 +104,8 @@
 			"malopolska-a": {Region: "malopolska", VMSlots: 3},
 		},
 		Models: []Model{
-			{Name: "pisarz", Class: config.ClassCatalogue, Engines: map[string]int{"mazowsze-a": 6, "mazowsze-b": 6, "malopolska-a": 6}, Share: 0.6, PromptBlocks: 30, AnswerTokens: 40, Documents: 20},
-			{Name: "sklep", Class: config.ClassInteractive, Engines: map[string]int{"mazowsze-a": 1, "mazowsze-b": 1, "malopolska-a": 1}, Share: 0.4, PromptBlocks: 6, AnswerTokens: 20, Documents: 8},
+			{Name: "pisarz", Class: config.ClassCatalogue, Engines: map[string]int{"mazowsze-a": 6, "mazowsze-b": 6, "malopolska-a": 6}, RequestShare: 0.6, PromptBlocks: 30, AnswerTokens: 40, Documents: 20},
+			{Name: "sklep", Class: config.ClassInteractive, Engines: map[string]int{"mazowsze-a": 1, "mazowsze-b": 1, "malopolska-a": 1}, RequestShare: 0.4, PromptBlocks: 6, AnswerTokens: 20, Documents: 8},
 		},
 		Workspaces:        workspaces("catalogue", "order-desk", "florists", "gift-shops", "export"),
 		OrderService:      "orders",
@@ -113,8 +113,8 @@
 	}
 }
 
-// workspaces gives the first two large shares; the last one sends four times
-// its rate.
+// workspaces returns five workspaces with these names. The first two have large
+// request shares; the last one sends four times its rate.
 func workspaces(names ...string) []Workspace {
 	shares := []float64{0.35, 0.25, 0.15, 0.1, 0.15}
 	var out []Workspace
@@ -123,12 +123,12 @@
 		if i == len(names)-1 {
 			factor = 0.25
 		}
-		out = append(out, Workspace{Name: name, Share: shares[i], RateFactor: factor})
+		out = append(out, Workspace{Name: name, RequestShare: shares[i], RateFactor: factor})
 	}
 	return out
 }
 
-// MakeKeys gives every workspace a new key.
+// MakeKeys generates a caller key for every workspace.
 func (p *Profile) MakeKeys() error {
 	for i := range p.Workspaces {
 		key, err := keys.New()
@@ -140,19 +140,21 @@
 	return nil
 }
 
-// tokensPerRequest is the mean number of tokens of a request.
-func (p *Profile) tokensPerRequest() float64 {
+// meanRequestTokens returns the mean number of prompt and answer tokens of a
+// request.
+func (p *Profile) meanRequestTokens() float64 {
 	sum := 0.0
 	for _, m := range p.Models {
-		sum += m.Share * float64(m.PromptBlocks*BlockTokens+m.AnswerTokens)
+		sum += m.RequestShare * float64(m.PromptBlocks*BlockTokens+m.AnswerTokens)
 	}
 	return sum
 }
 
-// burstSeconds is the burst of a workspace in seconds of its rate.
+// burstSeconds is the burst size of a workspace, as the number of seconds that
+// its rate takes to refill it.
 const burstSeconds = 8
 
-// Document returns the service document of the profile.
+// Document returns the service document for the profile.
 func (p *Profile) Document() config.Document {
 	d := config.Document{
 		Models:     make(map[string]config.Model),
@@ -163,7 +165,7 @@
 		Zones:      p.Zones,
 	}
 	for _, m := range p.Models {
-		d.Models[m.Name] = config.Model{ServingVersion: "v1", BlockTokens: BlockTokens, PrefillTokensPerSecond: EngineRate}
+		d.Models[m.Name] = config.Model{ServingVersion: "v1", BlockTokens: BlockTokens, PrefillTokensPerSecond: PrefillRate}
 		d.Routes[m.Name] = config.Route{Kind: config.KindModel, Model: m.Name, Class: m.Class}
 		d.Objectives[m.Name+"-first-token"] = config.Objective{Route: m.Name, Kind: "first_token", ThresholdMS: 840, Target: 0.95}
 		d.Objectives[m.Name+"-complete"] = config.Objective{Route: m.Name, Kind: "complete_answers", Target: 0.999}
@@ -174,35 +176,37 @@
 	}
 	for _, w := range p.Workspaces {
 		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: keys.Sum(w.Key).String()}}}
-		rate := p.RequestsPerSecond * w.Share * p.tokensPerRequest() * w.RateFactor
-		d.Rates[w.Name] = config.Rate{RateTokensPerSecond: rate, BurstTokens: max(burstSeconds*rate, 4*p.tokensPerRequest()), MaxWaitMS: 500}
+		rate := p.RequestsPerSecond * w.RequestShare * p.meanRequestTokens() * w.RateFactor
+		d.Rates[w.Name] = config.Rate{RateTokensPerSecond: rate, BurstTokens: max(burstSeconds*rate, 4*p.meanRequestTokens()), MaxWaitMS: 500}
 	}
 	return d
 }
 
-// prompt returns the text of a prompt: a head that all prompts of the
-// workspace share, a document, a section of it, and a question of its own.
+// prompt returns the text of a prompt: instructions that all prompts of the
+// workspace to the model share, a document, one of its sections, and a random
+// question.
 func prompt(rng *rand.Rand, workspace string, m Model, document int) string {
-	head := m.PromptBlocks / 4
-	section := m.PromptBlocks / 4
-	body := m.PromptBlocks - head - section
+	headBlocks := m.PromptBlocks / 4
+	sectionBlocks := m.PromptBlocks / 4
+	documentBlocks := m.PromptBlocks - headBlocks - sectionBlocks
 	var b strings.Builder
-	fill(&b, workspace+" "+m.Name+" instructions ", head)
-	fill(&b, fmt.Sprintf("%s %s document %d ", workspace, m.Name, document), body)
-	fill(&b, fmt.Sprintf("%s %s document %d section %d ", workspace, m.Name, document, rng.IntN(sectionsPerDocument)), section)
+	writeBlocks(&b, workspace+" "+m.Name+" instructions ", headBlocks)
+	writeBlocks(&b, fmt.Sprintf("%s %s document %d ", workspace, m.Name, document), documentBlocks)
+	writeBlocks(&b, fmt.Sprintf("%s %s document %d section %d ", workspace, m.Name, document, rng.IntN(sectionsPerDocument)), sectionBlocks)
 	fmt.Fprintf(&b, "question %d", rng.Uint64())
 	return b.String()
 }
 
 const sectionsPerDocument = 4
 
-// fill writes blocks of text that is a function of the label.
-func fill(b *strings.Builder, label string, blocks int) {
+// writeBlocks writes blocks filled with repetitions of the label.
+func writeBlocks(b *strings.Builder, label string, blocks int) {
 	end := b.Len() + blocks*blockBytes
 	for b.Len() < end {
 		b.WriteString(label[:min(len(label), end-b.Len())])
 	}
 }
 
-// shiftEvery is how often another document becomes the hot one.
-const shiftEvery = 10 * time.Second
+// hotShiftInterval is the interval after which another document becomes the hot
+// one.
+const hotShiftInterval = 10 * time.Second
