--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -11,6 +11,7 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
+// sendAnnouncement posts a to the target listener at base.
 func sendAnnouncement(ctx context.Context, client *http.Client, base string, a target.Announcement) error {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -26,7 +27,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("announcement answered with status %d", resp.StatusCode)
+		return fmt.Errorf("target listener rejected the announcement with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -9,19 +9,21 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// CacheOptions describe the prefix cache of a stand-in engine or KV store.
+// CacheOptions configures the prefix cache of a simulated engine or KV store.
 type CacheOptions struct {
-	// KVStore is true for a KV store, which keeps blocks but answers nothing.
+	// KVStore selects a KV store, which stores blocks but serves no completions.
 	KVStore bool
-	// Blocks is how many blocks fit; zero turns the cache off.
+	// Blocks is the cache capacity in blocks; zero disables the cache.
 	Blocks int
-	// BlockTokens is the number of tokens in a block.
+	// BlockTokens is the number of tokens per block.
 	BlockTokens int
-	// PrefillTokensPerSecond is the prefill speed; zero takes no time.
+	// PrefillTokensPerSecond is the prefill speed; with zero, prefill is
+	// instantaneous.
 	PrefillTokensPerSecond float64
-	// ImportPerBlock is how long the transfer of a block takes.
+	// ImportPerBlock is the time to import one block.
 	ImportPerBlock time.Duration
-	// EventLag delays cache events, EventLoss is the part that is lost.
+	// EventLag delays cache events. EventLoss is the fraction of them that is
+	// dropped.
 	EventLag  time.Duration
 	EventLoss float64
 	// LoadLag delays load reports.
@@ -35,34 +37,34 @@
 	return target.KindEngine
 }
 
-// blockKey keeps the blocks of workspaces and weights apart, also if their
-// hashes collide.
+// blockKey identifies a cached block. The scope separates the blocks of
+// different workspaces and weights even if their hashes collide.
 type blockKey struct {
 	scope string
 	hash  prefix.Hash
 }
 
 type block struct {
-	key  blockKey
-	root prefix.Hash
-	used time.Time
+	key      blockKey
+	root     prefix.Hash
+	lastUsed time.Time
 }
 
-// cache holds blocks, least recently used ones are evicted.
+// cache is an LRU cache of blocks.
 type cache struct {
 	capacity int
 	events   *eventLog
 
 	mu     sync.Mutex
 	blocks map[blockKey]*list.Element
-	order  *list.List
+	lru    *list.List
 }
 
 func newCache(capacity int, events *eventLog) *cache {
-	return &cache{capacity: capacity, events: events, blocks: make(map[blockKey]*list.Element), order: list.New()}
+	return &cache{capacity: capacity, events: events, blocks: make(map[blockKey]*list.Element), lru: list.New()}
 }
 
-// match returns how many leading blocks of chain are held.
+// match returns the number of leading blocks of chain that are cached.
 func (c *cache) match(scope string, chain []prefix.Hash) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +76,8 @@
 	return len(chain)
 }
 
-// store adds a chain. The last block is the first to be evicted, because the
-// blocks before it are useful without it.
+// store adds a chain. Its blocks are evicted from the last to the first, because
+// the leading blocks remain usable without those that follow.
 func (c *cache) store(scope string, chain []prefix.Hash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,11 +87,11 @@
 	for i := len(chain) - 1; i >= 0; i-- {
 		key := blockKey{scope, chain[i]}
 		if held, ok := c.blocks[key]; ok {
-			held.Value.(*block).used = now
-			c.order.MoveToFront(held)
+			held.Value.(*block).lastUsed = now
+			c.lru.MoveToFront(held)
 			continue
 		}
-		c.blocks[key] = c.order.PushFront(&block{key, chain[0], now})
+		c.blocks[key] = c.lru.PushFront(&block{key, chain[0], now})
 		added = append(added, chain[i])
 	}
 	if len(added) > 0 {
@@ -99,17 +101,18 @@
 }
 
 func (c *cache) evict(now time.Time) {
-	for c.order.Len() > c.capacity {
-		last := c.order.Back()
-		b := c.order.Remove(last).(*block)
+	for c.lru.Len() > c.capacity {
+		last := c.lru.Back()
+		b := c.lru.Remove(last).(*block)
 		delete(c.blocks, b.key)
 		c.events.add(prefix.Event{
-			Kind: prefix.Evicted, Root: b.root, Blocks: []prefix.Hash{b.key.hash}, AgeMS: now.Sub(b.used).Milliseconds(),
+			Kind: prefix.Evicted, Root: b.root, Blocks: []prefix.Hash{b.key.hash}, AgeMS: now.Sub(b.lastUsed).Milliseconds(),
 		})
 	}
 }
 
-// snapshot returns the whole content and the number of the last event.
+// snapshot returns the cache content as events and the sequence number of the
+// last logged event.
 func (c *cache) snapshot() ([]prefix.Event, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,5 +125,5 @@
 	for root, blocks := range byRoot {
 		events = append(events, prefix.Event{Kind: prefix.Stored, Root: root, Blocks: blocks})
 	}
-	return events, c.events.last()
+	return events, c.events.lastSequence()
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins for the systems outside cuminwing: a
-// model engine and a plain service. They let the demo, the load tool and the
-// tests run with nothing else installed.
+// Package standin simulates the systems that cuminwing routes to: model
+// engines, KV stores and plain services. The demo, the load tool and the tests
+// use it, so that they need no other software.
 package standin
 
 import (
@@ -22,29 +22,29 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// EngineOptions describe one stand-in engine.
+// EngineOptions configures a simulated engine.
 type EngineOptions struct {
-	// ID, Zone, Region, Model and Version are announced.
+	// ID, Zone, Region, Model and Version are sent in announcements.
 	ID, Zone, Region, Model, Version string
-	// Announce is the base URL of the target listener of a VM.
+	// Announce lists the base URLs of the target listeners of VMs. Each
+	// announcement goes to the first one that accepts it.
 	Announce []string
 	// TokenInterval is the time between tokens.
 	TokenInterval time.Duration
-	// BatchSlots is the number of concurrent requests; zero means no limit.
+	// BatchSlots limits the number of concurrent requests; zero means no limit.
 	BatchSlots int
-	// StartDelay is the time before the first token.
+	// StartDelay is the time between prefill and the first token.
 	StartDelay time.Duration
-	// HTTP2 announces that the engine speaks HTTP/2.
+	// HTTP2 announces support for HTTP/2.
 	HTTP2 bool
-	// Cache describes the prefix cache.
+	// Cache configures the prefix cache.
 	Cache CacheOptions
-	// Orders describes how the engine takes orders.
+	// Orders configures how the engine handles orders to load weights.
 	Orders OrderOptions
 }
 
-// Engine is a stand-in model engine. Its answers are a function of the
-// request, so that every engine of a version continues a stream in the same
-// way.
+// Engine is a simulated model engine. Its responses depend on the request only,
+// so that any engine of the same version can resume a stream.
 type Engine struct {
 	options     EngineOptions
 	incarnation uint64
@@ -52,16 +52,17 @@
 	running     atomic.Int64
 	listener    net.Listener
 	server      *http.Server
-	stop        context.CancelFunc
-	done        sync.WaitGroup
+	cancel      context.CancelFunc
+	goroutines  sync.WaitGroup
 	leaving     atomic.Bool
-	gate        *Gate
-	faults      faults
+	blackhole   *BlackholeListener
+	faults      faultInjector
 	kv          *kvEngine
-	orders      *orderBook
+	orders      *orderState
 }
 
-// StartEngine listens on address and announces the engine until it is closed.
+// StartEngine starts an engine that listens on address and announces itself
+// until it is closed.
 func StartEngine(address string, options EngineOptions) (*Engine, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -72,35 +73,36 @@
 		options:     options,
 		incarnation: uint64(time.Now().UnixMicro()),
 		listener:    listener,
-		stop:        cancel,
-		gate:        NewGate(listener),
-		orders:      newOrderBook(options.Orders),
+		cancel:      cancel,
+		blackhole:   NewBlackholeListener(listener),
+		orders:      newOrderState(options.Orders),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("POST /v1/completions", e.complete)
-	mux.HandleFunc("POST /v1/requests/{id}/cancel", e.cancelRequest)
-	mux.HandleFunc("POST "+targethttp.OrderPath, e.orders.handle)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	mux.HandleFunc("POST /v1/completions", e.serveCompletion)
+	mux.HandleFunc("POST /v1/requests/{id}/cancel", e.serveCancel)
+	mux.HandleFunc("POST "+targethttp.OrderPath, e.orders.serveOrder)
 	e.kv = newKVEngine(e.incarnation, options)
 	e.kv.register(mux)
-	e.server = &http.Server{Handler: mux, Protocols: standinProtocols()}
-	e.done.Go(func() { _ = e.server.Serve(e.gate) })
-	e.done.Go(func() { e.announceLoop(ctx) })
+	e.server = &http.Server{Handler: mux, Protocols: supportedProtocols()}
+	e.goroutines.Go(func() { _ = e.server.Serve(e.blackhole) })
+	e.goroutines.Go(func() { e.announceLoop(ctx) })
 	return e, nil
 }
 
-// URL returns the base URL of the engine.
+// URL returns the base URL at which the engine serves.
 func (e *Engine) URL() string { return "http://" + e.listener.Addr().String() }
 
-// Leave announces that the engine wants no new work.
+// Leave sets the leaving flag in announcements: the engine accepts no new
+// requests.
 func (e *Engine) Leave() { e.leaving.Store(true) }
 
-// Close stops the engine at once, cutting its streams.
+// Close stops the engine immediately and closes its open streams.
 func (e *Engine) Close() {
-	e.stop()
+	e.cancel()
 	_ = e.server.Close()
-	e.gate.Release()
-	e.done.Wait()
+	e.blackhole.CloseConnections()
+	e.goroutines.Wait()
 }
 
 func (e *Engine) announceLoop(ctx context.Context) {
@@ -140,7 +142,7 @@
 		Load:         e.kv.load.report(),
 		Leaving:      e.leaving.Load(),
 	}
-	e.orders.describe(&a)
+	e.orders.fillAnnouncement(&a)
 	return a
 }
 
@@ -155,19 +157,19 @@
 	} `json:"stream_options"`
 }
 
-const defaultAnswerTokens = 32
+const defaultMaxTokens = 32
 
-func (r *engineRequest) tokens() int {
+func (r *engineRequest) maxTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
 	}
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
 	}
-	return defaultAnswerTokens
+	return defaultMaxTokens
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	e.running.Add(1)
 	defer e.running.Add(-1)
 	var req engineRequest
@@ -175,12 +177,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, end := e.faults.begin(r)
+	ctx, end := e.faults.track(r)
 	defer end()
-	if e.faults.refuse(w) {
+	if e.faults.writeErrorStatus(w) {
 		return
 	}
-	release, cached, ok := e.kv.begin(r, len(req.Messages)+len(req.Prompt))
+	release, cached, ok := e.kv.admit(r, len(req.Messages)+len(req.Prompt))
 	if !ok {
 		return
 	}
@@ -201,16 +203,16 @@
 		model:        e.options.Model,
 	}
 	seed := promptSeed(req)
-	total := req.tokens()
+	total := req.maxTokens()
 	if !pause.For(ctx, e.options.StartDelay) {
 		return
 	}
-	start = e.faults.repeat(start)
+	start = e.faults.shiftResume(start)
 	for i := start; i < total; i++ {
-		if !e.faults.beforeToken(ctx, &out, i-start) {
+		if !e.faults.injectBeforeToken(ctx, &out, i-start) {
 			return
 		}
-		if out.token(i, Word(seed, i)) != nil || !pause.For(ctx, e.options.TokenInterval) {
+		if out.token(i, AnswerToken(seed, i)) != nil || !pause.For(ctx, e.options.TokenInterval) {
 			return
 		}
 	}
@@ -228,24 +230,24 @@
 	return h.Sum64()
 }
 
-// Answer returns the whole text that every engine answers to the messages of a
-// chat request.
+// Answer returns the complete text that every engine generates for the messages
+// of a chat request.
 func Answer(messages []byte, tokens int) string {
 	seed := promptSeed(engineRequest{Messages: messages})
 	var text strings.Builder
 	for i := range tokens {
-		text.WriteString(Word(seed, i))
+		text.WriteString(AnswerToken(seed, i))
 	}
 	return text.String()
 }
 
-// Word returns token number i of the answer to the prompt with the given seed.
-func Word(seed uint64, i int) string {
+// AnswerToken returns token i of the response to the prompt with the given seed.
+func AnswerToken(seed uint64, i int) string {
 	return "w" + strconv.FormatUint((seed+uint64(i)*2654435761)%9973, 10) + " "
 }
 
 type eventWriter struct {
-	// promptTokens is the length of the prompt, as usage reports it.
+	// promptTokens is the prompt length reported in the usage event.
 	promptTokens int
 	w            http.ResponseWriter
 	flusher      *http.ResponseController
--- a/internal/standin/events.go
+++ b/internal/standin/events.go
@@ -15,68 +15,72 @@
 )
 
 const (
-	// keptEvents is how many events can be read again.
-	keptEvents = 4096
-	eventPoll  = 5 * time.Millisecond
-	// keptLoads covers the lag of load reports.
-	keptLoads = 256
+	// maxEvents limits the events kept for readers; a reader that is further
+	// behind gets a snapshot.
+	maxEvents         = 4096
+	eventPollInterval = 5 * time.Millisecond
+	// maxLoadSamples limits the load history. It must span the lag of load
+	// reports.
+	maxLoadSamples = 256
 )
 
 type loggedEvent struct {
-	event   prefix.Event
-	visible time.Time
+	event     prefix.Event
+	visibleAt time.Time
 }
 
-// eventLog numbers cache events. Number 1 stands for the start, so that a
-// snapshot never ends at 0.
+// eventLog assigns sequence numbers to cache events and keeps the latest events.
+// Events start at number 2, so that even the snapshot of an empty log ends at 1
+// and never at 0, which requests a snapshot.
 type eventLog struct {
 	lag  time.Duration
 	loss float64
 
-	mu     sync.Mutex
-	next   uint64
-	oldest uint64
-	events []loggedEvent
+	mu             sync.Mutex
+	nextSequence   uint64
+	oldestSequence uint64
+	events         []loggedEvent
 }
 
 func newEventLog(o CacheOptions) *eventLog {
-	return &eventLog{lag: o.EventLag, loss: o.EventLoss, next: 2, oldest: 2}
+	return &eventLog{lag: o.EventLag, loss: o.EventLoss, nextSequence: 2, oldestSequence: 2}
 }
 
-func (l *eventLog) last() uint64 {
+func (l *eventLog) lastSequence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.next - 1
+	return l.nextSequence - 1
 }
 
-// add numbers the event; a lost one leaves a gap.
+// add assigns the next sequence number to the event. An event that is dropped as
+// lost leaves a gap in the numbers.
 func (l *eventLog) add(e prefix.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.Sequence = l.next
-	l.next++
+	e.Sequence = l.nextSequence
+	l.nextSequence++
 	if rand.Float64() < l.loss {
 		return
 	}
 	l.events = append(l.events, loggedEvent{e, time.Now().Add(l.lag)})
-	if len(l.events) > keptEvents {
+	if len(l.events) > maxEvents {
 		l.events = l.events[1:]
-		l.oldest = l.events[0].event.Sequence
+		l.oldestSequence = l.events[0].event.Sequence
 	}
 }
 
-// since returns the visible events after a number. It reports false if some
-// of them are no longer kept.
+// since returns the visible events after the given sequence number. It reports
+// false if some of them are no longer kept or the number was never assigned.
 func (l *eventLog) since(after uint64) ([]prefix.Event, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if after+1 < l.oldest || after >= l.next {
+	if after+1 < l.oldestSequence || after >= l.nextSequence {
 		return nil, false
 	}
 	now := time.Now()
 	var events []prefix.Event
 	for _, e := range l.events {
-		if e.event.Sequence > after && !e.visible.After(now) {
+		if e.event.Sequence > after && !e.visibleAt.After(now) {
 			events = append(events, e.event)
 		}
 	}
@@ -86,10 +90,10 @@
 func (k *kvEngine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(w, "after must be a number", http.StatusBadRequest)
+		http.Error(w, "query parameter after must be an unsigned integer", http.StatusBadRequest)
 		return
 	}
-	answer := targethttp.CacheEvents{Incarnation: k.incarnation, Through: after}
+	response := targethttp.CacheEvents{Incarnation: k.incarnation, Through: after}
 	deadline := time.Now().Add(targethttp.CacheWait)
 	for after > 0 {
 		events, kept := k.events.since(after)
@@ -98,53 +102,53 @@
 			break
 		}
 		if len(events) > 0 {
-			answer.Events, answer.Through = events, events[len(events)-1].Sequence
+			response.Events, response.Through = events, events[len(events)-1].Sequence
 			break
 		}
-		if time.Now().After(deadline) || !pause.For(r.Context(), eventPoll) {
+		if time.Now().After(deadline) || !pause.For(r.Context(), eventPollInterval) {
 			break
 		}
 	}
 	if after == 0 {
-		answer.Snapshot = true
-		answer.Events, answer.Through = k.cache.snapshot()
+		response.Snapshot = true
+		response.Events, response.Through = k.cache.snapshot()
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
-// loadLog gives load reports that lag behind.
-type loadLog struct {
+// loadHistory keeps recent load samples, so that load reports can be delayed.
+type loadHistory struct {
 	lag time.Duration
 
 	mu      sync.Mutex
 	current target.Load
-	past    []pastLoad
+	samples []loadSample
 }
 
-type pastLoad struct {
+type loadSample struct {
 	at   time.Time
 	load target.Load
 }
 
-func (l *loadLog) change(f func(*target.Load)) {
+func (l *loadHistory) update(f func(*target.Load)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.current)
-	l.past = append(l.past, pastLoad{time.Now(), l.current})
-	if len(l.past) > keptLoads {
-		l.past = l.past[1:]
+	l.samples = append(l.samples, loadSample{time.Now(), l.current})
+	if len(l.samples) > maxLoadSamples {
+		l.samples = l.samples[1:]
 	}
 }
 
-// report returns the load as it was the lag ago.
-func (l *loadLog) report() target.Load {
+// report returns the load as of lag before now.
+func (l *loadHistory) report() target.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := time.Now().Add(-l.lag)
-	for i := len(l.past) - 1; i >= 0; i-- {
-		if !l.past[i].at.After(limit) {
-			return l.past[i].load
+	cutoff := time.Now().Add(-l.lag)
+	for i := len(l.samples) - 1; i >= 0; i-- {
+		if !l.samples[i].at.After(cutoff) {
+			return l.samples[i].load
 		}
 	}
 	return target.Load{}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,135 +10,141 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/targethttp"
 )
 
-// Faults are the switches of a stand-in engine. The zero value has no fault.
+// Faults configures fault injection in a simulated engine. The zero value
+// injects none.
 type Faults struct {
-	// Status answers requests with this status.
+	// Status fails requests with this HTTP status; zero is off.
 	Status int
-	// StallAfter stops the stream after this many tokens; zero is off.
+	// StallAfter stalls the stream after this many tokens, with the connection
+	// open; zero is off.
 	StallAfter int
 	// CutAfter closes the connection after this many tokens; zero is off.
 	CutAfter int
-	// Cross sends this many events of another request and of another
-	// incarnation before each token.
+	// Cross inserts this many events of another request, and as many of another
+	// incarnation, before each token.
 	Cross int
-	// Repeat starts a resumed stream this many tokens too early.
+	// Repeat resumes a stream this many tokens too early, so that tokens are
+	// repeated.
 	Repeat int
-	// Skip starts a resumed stream this many tokens too late.
+	// Skip resumes a stream this many tokens too late, so that tokens are missing.
 	Skip int
-	// Requests is how many requests the faults hit; zero means all.
+	// Requests limits the faults to this many requests; zero means all.
 	Requests int
 }
 
-type faults struct {
-	mu        sync.Mutex
-	set       Faults
-	hits      int
-	running   map[string]context.CancelFunc
-	started   int
-	cancelled int
+type faultInjector struct {
+	mu               sync.Mutex
+	configured       Faults
+	requestsSinceSet int
+	cancels          map[string]context.CancelFunc
+	started          int
+	cancelled        int
 }
 
-// SetFaults replaces the faults for new requests and tokens.
+// SetFaults replaces the injected faults. Running streams use the new faults
+// from their next token on.
 func (e *Engine) SetFaults(f Faults) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.set = f
-	e.faults.hits = 0
+	e.faults.configured = f
+	e.faults.requestsSinceSet = 0
 }
 
-// Silence makes the open connections silent, as when a device on the way lost
-// their state, and returns their count.
-func (e *Engine) Silence() int { return e.gate.Silence() }
+// Silence blackholes the open connections, as a middlebox does that lost their
+// state, and returns their number.
+func (e *Engine) Silence() int { return e.blackhole.Blackhole() }
 
-// Restart stops the engine as a crash does and starts it again with an empty
-// cache, under the same address and a higher incarnation.
+// Restart simulates a crash: it closes the engine and starts a new one with an
+// empty cache, the same address and a higher incarnation.
 func (e *Engine) Restart() (*Engine, error) {
 	e.Close()
 	return StartEngine(e.listener.Addr().String(), e.options)
 }
 
-// Started returns the number of requests that reached the engine, Cancelled
-// that of the requests that ended before their answer.
-func (e *Engine) Started() int { return e.faults.read(&e.faults.started) }
+// Started returns the number of requests that reached the engine.
+func (e *Engine) Started() int { return e.faults.readCounter(&e.faults.started) }
 
-// Cancelled returns the number of requests whose caller went away.
-func (e *Engine) Cancelled() int { return e.faults.read(&e.faults.cancelled) }
+// Cancelled returns the number of requests that were cancelled, or whose caller
+// disconnected, before the response was complete.
+func (e *Engine) Cancelled() int { return e.faults.readCounter(&e.faults.cancelled) }
 
-// Running returns the number of requests in work.
+// Running returns the number of requests in flight.
 func (e *Engine) Running() int { return int(e.running.Load()) }
 
-func (f *faults) read(n *int) int {
+func (f *faultInjector) readCounter(n *int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return *n
 }
 
-// current returns the faults that hit a request now.
-func (f *faults) current() Faults {
+// active returns the faults to inject at this moment.
+func (f *faultInjector) active() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.set.Requests > 0 && f.hits > f.set.Requests {
+	if f.configured.Requests > 0 && f.requestsSinceSet > f.configured.Requests {
 		return Faults{}
 	}
-	return f.set
+	return f.configured
 }
 
-// begin registers a request, so that a cancel message finds it.
-func (f *faults) begin(r *http.Request) (context.Context, func()) {
+// track registers a request so that a cancel request can look it up. The caller
+// must call the returned function when the request ends.
+func (f *faultInjector) track(r *http.Request) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(r.Context())
-	name := r.Header.Get(targethttp.HeaderRequestID) + "/" + r.Header.Get(targethttp.HeaderAttempt)
+	key := r.Header.Get(targethttp.HeaderRequestID) + "/" + r.Header.Get(targethttp.HeaderAttempt)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.running == nil {
-		f.running = make(map[string]context.CancelFunc)
+	if f.cancels == nil {
+		f.cancels = make(map[string]context.CancelFunc)
 	}
-	f.running[name] = cancel
+	f.cancels[key] = cancel
 	f.started++
-	f.hits++
+	f.requestsSinceSet++
 	return ctx, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if ctx.Err() != nil {
 			f.cancelled++
 		}
-		delete(f.running, name)
+		delete(f.cancels, key)
 		cancel()
 	}
 }
 
-func (e *Engine) cancelRequest(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	if cancel, ok := e.faults.running[r.PathValue("id")+"/"+r.URL.Query().Get("attempt")]; ok {
+	if cancel, ok := e.faults.cancels[r.PathValue("id")+"/"+r.URL.Query().Get("attempt")]; ok {
 		cancel()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (f *faults) refuse(w http.ResponseWriter) bool {
-	status := f.current().Status
+func (f *faultInjector) writeErrorStatus(w http.ResponseWriter) bool {
+	status := f.active().Status
 	if status == 0 {
 		return false
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = fmt.Fprintf(w, `{"error":{"message":"stand-in fault","code":"status_%d"}}`, status)
+	_, _ = fmt.Fprintf(w, `{"error":{"message":"injected fault","code":"status_%d"}}`, status)
 	return true
 }
 
-// repeat moves the start of a resumed stream.
-func (f *faults) repeat(start int) int {
+// shiftResume applies the Repeat and Skip faults to the offset of a resumed
+// stream.
+func (f *faultInjector) shiftResume(start int) int {
 	if start == 0 {
 		return 0
 	}
-	set := f.current()
+	set := f.active()
 	return max(0, start-set.Repeat) + set.Skip
 }
 
-// beforeToken plays the faults due before a token. It reports false if the
-// stream must end.
-func (f *faults) beforeToken(ctx context.Context, out *eventWriter, sent int) bool {
-	set := f.current()
+// injectBeforeToken injects the faults due before a token. It reports false if
+// the stream must end.
+func (f *faultInjector) injectBeforeToken(ctx context.Context, out *eventWriter, sent int) bool {
+	set := f.active()
 	if set.StallAfter > 0 && sent >= set.StallAfter {
 		<-ctx.Done()
 		return false
@@ -157,7 +163,7 @@
 	return true
 }
 
-// usage sends the event with the token counts.
+// usage writes the event with the token counts.
 func (o *eventWriter) usage(completion int) {
 	event := map[string]any{
 		"id": "chatcmpl-" + o.requestID, "object": "chat.completion.chunk", "created": 1, "model": o.model,
@@ -168,8 +174,8 @@
 	_, _ = fmt.Fprintf(o.w, "id: %s;%d;%d;0\ndata: %s\n\n", o.requestID, o.incarnation, completion, data)
 }
 
-// standinProtocols lets targets be reached with HTTP/1.1 and HTTP/2.
-func standinProtocols() *http.Protocols {
+// supportedProtocols enables HTTP/1.1 and unencrypted HTTP/2.
+func supportedProtocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
 	p.SetUnencryptedHTTP2(true)
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -6,72 +6,73 @@
 	"sync/atomic"
 )
 
-// Gate is a listener behind a device that can lose the state of the open
-// connections: they stay open but carry nothing any more, while new
+// BlackholeListener simulates a middlebox in front of a listener that loses the
+// state of open connections: they stay open but carry no more data, while new
 // connections work.
-type Gate struct {
+type BlackholeListener struct {
 	net.Listener
 
 	mu    sync.Mutex
-	conns map[*gatedConn]struct{}
+	conns map[*blackholeConn]struct{}
 }
 
-// NewGate puts a gate in front of listener.
-func NewGate(listener net.Listener) *Gate {
-	return &Gate{Listener: listener, conns: make(map[*gatedConn]struct{})}
+// NewBlackholeListener wraps listener.
+func NewBlackholeListener(listener net.Listener) *BlackholeListener {
+	return &BlackholeListener{Listener: listener, conns: make(map[*blackholeConn]struct{})}
 }
 
 // Accept implements net.Listener.
-func (g *Gate) Accept() (net.Conn, error) {
-	conn, err := g.Listener.Accept()
+func (l *BlackholeListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &gatedConn{Conn: conn, gate: g, closed: make(chan struct{})}
-	g.mu.Lock()
-	g.conns[c] = struct{}{}
-	g.mu.Unlock()
+	c := &blackholeConn{Conn: conn, listener: l, closed: make(chan struct{})}
+	l.mu.Lock()
+	l.conns[c] = struct{}{}
+	l.mu.Unlock()
 	return c, nil
 }
 
-// Silence makes the open connections silent for good and returns their count.
-func (g *Gate) Silence() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.conns {
-		c.silent.Store(true)
+// Blackhole discards all further data on the open connections and returns their
+// number.
+func (l *BlackholeListener) Blackhole() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		c.blackholed.Store(true)
 	}
-	return len(g.conns)
+	return len(l.conns)
 }
 
-// Release closes the silent connections.
-func (g *Gate) Release() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.conns {
+// CloseConnections closes all open connections, including blackholed ones.
+func (l *BlackholeListener) CloseConnections() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
 		_ = c.Conn.Close()
 	}
-	clear(g.conns)
+	clear(l.conns)
 }
 
-func (g *Gate) forget(c *gatedConn) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	delete(g.conns, c)
+func (l *BlackholeListener) remove(c *blackholeConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, c)
 }
 
-type gatedConn struct {
+type blackholeConn struct {
 	net.Conn
-	gate   *Gate
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	listener   *BlackholeListener
+	blackholed atomic.Bool
+	closeOnce  sync.Once
+	closed     chan struct{}
 }
 
 // Read implements net.Conn.
-func (c *gatedConn) Read(p []byte) (int, error) {
+func (c *blackholeConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -79,20 +80,20 @@
 }
 
 // Write implements net.Conn.
-func (c *gatedConn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+func (c *blackholeConn) Write(p []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. The other end of a silent connection does not
-// learn of it.
-func (c *gatedConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
-	if c.silent.Load() {
+// Close implements net.Conn. It leaves the underlying connection open if it is
+// blackholed, so that the other end does not notice.
+func (c *blackholeConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
+	if c.blackholed.Load() {
 		return nil
 	}
-	c.gate.forget(c)
+	c.listener.remove(c)
 	return c.Conn.Close()
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -14,15 +14,15 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// kvEngine is the part of a stand-in that prefills, queues and caches.
+// kvEngine simulates the queue, the prefill and the prefix cache of a target.
 type kvEngine struct {
 	incarnation uint64
 	options     CacheOptions
 	events      *eventLog
 	cache       *cache
-	load        *loadLog
-	batch       *slots
-	prefillTurn *slots
+	load        *loadHistory
+	batchSlots  *semaphore
+	prefillSlot *semaphore
 }
 
 func newKVEngine(incarnation uint64, o EngineOptions) *kvEngine {
@@ -30,9 +30,9 @@
 		incarnation: incarnation,
 		options:     o.Cache,
 		events:      newEventLog(o.Cache),
-		load:        &loadLog{lag: o.Cache.LoadLag},
-		batch:       newSlots(o.BatchSlots),
-		prefillTurn: newSlots(1),
+		load:        &loadHistory{lag: o.Cache.LoadLag},
+		batchSlots:  newSemaphore(o.BatchSlots),
+		prefillSlot: newSemaphore(1),
 	}
 	k.cache = newCache(o.Cache.Blocks, k.events)
 	return k
@@ -49,9 +49,10 @@
 	}
 }
 
-// begin waits for a batch slot and runs the prefill. It returns the number of
-// reused tokens.
-func (k *kvEngine) begin(r *http.Request, promptBytes int) (release func(), cached int, ok bool) {
+// admit waits for a batch slot and runs the prefill. It returns a function that
+// frees the slot and the number of cached tokens, or false if the request ended
+// first.
+func (k *kvEngine) admit(r *http.Request, promptBytes int) (release func(), cached int, ok bool) {
 	chain, err := prefix.ParseChain(r.Header.Get(targethttp.HeaderPrefixBlocks))
 	if err != nil {
 		chain = nil
@@ -59,40 +60,40 @@
 	priority, _ := strconv.Atoi(r.Header.Get(targethttp.HeaderPriority))
 	tokens := (promptBytes + prefix.BytesPerToken - 1) / prefix.BytesPerToken
 	missing := max(0, tokens-k.options.BlockTokens*k.cache.match(r.Header.Get(targethttp.HeaderPrefixScope), chain))
-	k.load.change(func(l *target.Load) { l.Waiting++; l.QueuedPrefillTokens += missing })
-	done := func() { k.load.change(func(l *target.Load) { l.Waiting--; l.QueuedPrefillTokens -= missing }) }
-	if !k.batch.acquire(r.Context(), priority) {
+	k.load.update(func(l *target.Load) { l.Waiting++; l.QueuedPrefillTokens += missing })
+	done := func() { k.load.update(func(l *target.Load) { l.Waiting--; l.QueuedPrefillTokens -= missing }) }
+	if !k.batchSlots.acquire(r.Context(), priority) {
 		done()
 		return nil, 0, false
 	}
 	cached, ok = k.prefill(r, priority, chain, tokens)
 	done()
 	if !ok {
-		k.batch.release()
+		k.batchSlots.release()
 		return nil, 0, false
 	}
-	k.load.change(func(l *target.Load) { l.Running++ })
+	k.load.update(func(l *target.Load) { l.Running++ })
 	return func() {
-		k.load.change(func(l *target.Load) { l.Running-- })
-		k.batch.release()
+		k.load.update(func(l *target.Load) { l.Running-- })
+		k.batchSlots.release()
 	}, cached, true
 }
 
 func (k *kvEngine) prefill(r *http.Request, priority int, chain []prefix.Hash, tokens int) (int, bool) {
 	ctx := r.Context()
-	if !k.prefillTurn.acquire(ctx, priority) {
+	if !k.prefillSlot.acquire(ctx, priority) {
 		return 0, false
 	}
-	defer k.prefillTurn.release()
+	defer k.prefillSlot.release()
 	scope := r.Header.Get(targethttp.HeaderPrefixScope)
 	held := k.cache.match(scope, chain)
 	if source := r.Header.Get(targethttp.HeaderKVSource); source != "" && held < len(chain) {
-		held = max(held, k.fetch(ctx, source, scope, chain))
+		held = max(held, k.importBlocks(ctx, source, scope, chain))
 	}
 	cached := min(held*k.options.BlockTokens, tokens)
 	if k.options.PrefillTokensPerSecond > 0 {
-		work := float64(tokens-cached) / k.options.PrefillTokensPerSecond
-		if !pause.For(ctx, time.Duration(work*float64(time.Second))) {
+		seconds := float64(tokens-cached) / k.options.PrefillTokensPerSecond
+		if !pause.For(ctx, time.Duration(seconds*float64(time.Second))) {
 			return 0, false
 		}
 	}
@@ -100,8 +101,9 @@
 	return cached, true
 }
 
-// fetch imports leading blocks from another target and returns their number.
-func (k *kvEngine) fetch(ctx context.Context, source, scope string, chain []prefix.Hash) int {
+// importBlocks imports leading blocks of chain from another target and returns
+// their number.
+func (k *kvEngine) importBlocks(ctx context.Context, source, scope string, chain []prefix.Hash) int {
 	body, err := json.Marshal(targethttp.KVTransfer{Scope: scope, Blocks: chain})
 	if err != nil {
 		return 0
@@ -115,16 +117,16 @@
 		return 0
 	}
 	defer resp.Body.Close()
-	var answer targethttp.KVTransfer
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&answer) != nil {
+	var response targethttp.KVTransfer
+	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&response) != nil {
 		return 0
 	}
-	missing := len(answer.Blocks) - k.cache.match(scope, chain)
-	if len(answer.Blocks) > len(chain) || !pause.For(ctx, time.Duration(max(0, missing))*k.options.ImportPerBlock) {
+	missing := len(response.Blocks) - k.cache.match(scope, chain)
+	if len(response.Blocks) > len(chain) || !pause.For(ctx, time.Duration(max(0, missing))*k.options.ImportPerBlock) {
 		return 0
 	}
-	k.cache.store(scope, chain[:len(answer.Blocks)])
-	return len(answer.Blocks)
+	k.cache.store(scope, chain[:len(response.Blocks)])
+	return len(response.Blocks)
 }
 
 func (k *kvEngine) serveExport(w http.ResponseWriter, r *http.Request) {
@@ -143,6 +145,6 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	req.Blocks = req.Blocks[:k.fetch(r.Context(), req.Source, req.Scope, req.Blocks)]
+	req.Blocks = req.Blocks[:k.importBlocks(r.Context(), req.Source, req.Scope, req.Blocks)]
 	_ = json.NewEncoder(w).Encode(req)
 }
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -10,89 +10,91 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// DefaultLoadTime is how long a stand-in engine loads weights.
+// DefaultLoadTime is the default time that an order to load weights takes.
 const DefaultLoadTime = 400 * time.Millisecond
 
-// OrderOptions describe how an engine takes orders.
+// OrderOptions configures how an engine handles orders to load weights.
 type OrderOptions struct {
-	// Fencing refuses orders with an old fencing number.
+	// Fencing rejects orders with a stale fencing token.
 	Fencing bool
-	// LoadTime is how long weights load; zero means DefaultLoadTime.
+	// LoadTime is the time to load weights; zero means DefaultLoadTime.
 	LoadTime time.Duration
 }
 
-// orderBook is what an engine was ordered to do.
-type orderBook struct {
+// orderState tracks the orders that an engine accepted and the weights it loaded
+// for them.
+type orderState struct {
 	options OrderOptions
 
-	mu      sync.Mutex
-	fence   uint64
-	seen    map[string]bool
-	current targethttp.Order
-	loading bool
-	loads   int
+	mu           sync.Mutex
+	highestToken uint64
+	accepted     map[string]bool
+	current      targethttp.Order
+	loading      bool
+	loads        int
 }
 
-func newOrderBook(options OrderOptions) *orderBook {
+func newOrderState(options OrderOptions) *orderState {
 	if options.LoadTime == 0 {
 		options.LoadTime = DefaultLoadTime
 	}
-	return &orderBook{options: options, seen: make(map[string]bool)}
+	return &orderState{options: options, accepted: make(map[string]bool)}
 }
 
-func (b *orderBook) handle(w http.ResponseWriter, r *http.Request) {
+func (s *orderState) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o targethttp.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil || o.OrderID == "" {
-		http.Error(w, "order is malformed", http.StatusBadRequest)
+		http.Error(w, "malformed order: invalid JSON or no order ID", http.StatusBadRequest)
 		return
 	}
-	if !b.take(o) {
-		http.Error(w, "fencing number is old", http.StatusConflict)
+	if !s.accept(o) {
+		http.Error(w, "order rejected: stale fencing token", http.StatusConflict)
 		return
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// take starts an order, once per ID. It reports false if the order is fenced
-// off.
-func (b *orderBook) take(o targethttp.Order) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.options.Fencing && o.Fence < b.fence {
+// accept starts to load the weights of an order, once per order ID. It reports
+// false if the fencing token is stale.
+func (s *orderState) accept(o targethttp.Order) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.options.Fencing && o.Fence < s.highestToken {
 		return false
 	}
-	b.fence = max(b.fence, o.Fence)
-	if b.seen[o.OrderID] {
+	s.highestToken = max(s.highestToken, o.Fence)
+	if s.accepted[o.OrderID] {
 		return true
 	}
-	b.seen[o.OrderID] = true
-	b.loading = true
-	b.loads++
-	time.AfterFunc(b.options.LoadTime, func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.current = o
-		b.loading = false
+	s.accepted[o.OrderID] = true
+	s.loading = true
+	s.loads++
+	time.AfterFunc(s.options.LoadTime, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.current = o
+		s.loading = false
 	})
 	return true
 }
 
-// describe puts the state into an announcement.
-func (b *orderBook) describe(a *target.Announcement) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a.Capabilities.Fencing = b.options.Fencing
-	a.Loading = b.loading
-	if b.current.OrderID == "" {
+// fillAnnouncement adds the loaded weights, the loading state and the fencing
+// capability to an announcement.
+func (s *orderState) fillAnnouncement(a *target.Announcement) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a.Capabilities.Fencing = s.options.Fencing
+	a.Loading = s.loading
+	if s.current.OrderID == "" {
 		return
 	}
-	a.Model, a.Version, a.Adapters = b.current.Model, b.current.Version, b.current.Adapters
-	if b.current.Role != "" {
-		a.Role = b.current.Role
+	a.Model, a.Version, a.Adapters = s.current.Model, s.current.Version, s.current.Adapters
+	if s.current.Role != "" {
+		a.Role = s.current.Role
 	}
 }
 
-// Loads returns how often the engine began to load weights by order.
+// Loads returns how many weight loads orders have started.
 func (e *Engine) Loads() int {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -14,54 +14,55 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// ServiceOptions describe one replica of a stand-in plain service.
+// ServiceOptions configures one replica of a simulated plain service.
 type ServiceOptions struct {
-	// ID, Zone, Region and Service are announced.
+	// ID, Zone, Region and Service are sent in announcements.
 	ID, Zone, Region, Service string
 	// Announce lists the base URLs of the target listeners of VMs. The
 	// service announces itself to each of them.
 	Announce []string
-	// HTTP2 announces that the service speaks HTTP/2.
+	// HTTP2 announces support for HTTP/2.
 	HTTP2 bool
 }
 
-// ServiceFaults are the switches of a stand-in service. The zero value has no
-// fault.
+// ServiceFaults configures fault injection in a simulated service. The zero
+// value injects none.
 type ServiceFaults struct {
-	// Status answers with this status, after the call has run.
+	// Status sets the HTTP status of the response; the call is still executed.
 	Status int
-	// Delay is the time between the execution and the answer.
+	// Delay is the time between execution and response.
 	Delay time.Duration
-	// DropAnswer closes the connection after the call has run.
+	// DropAnswer executes the call, then closes the connection without a response.
 	DropAnswer bool
-	// CutAfter closes the connection after this many bytes of the answer.
+	// CutAfter closes the connection after this many bytes of the response body;
+	// zero is off.
 	CutAfter int
-	// Requests is how many calls the faults hit; zero means all.
+	// Requests limits the faults to this many calls; zero means all.
 	Requests int
 }
 
-// Service is a stand-in plain service. It answers with the body it got and
-// counts executions.
+// Service is a simulated plain service. It echoes the request body and counts
+// executions.
 type Service struct {
 	options     ServiceOptions
 	incarnation uint64
 	sequence    atomic.Uint64
-	gate        *Gate
+	blackhole   *BlackholeListener
 	server      *http.Server
-	stop        context.CancelFunc
-	done        sync.WaitGroup
-
-	mu       sync.Mutex
-	faults   ServiceFaults
-	hits     int
-	executed map[string]int
-	seen     []string
-	total    int
-	gone     int
+	cancel      context.CancelFunc
+	goroutines  sync.WaitGroup
+
+	mu               sync.Mutex
+	faults           ServiceFaults
+	requestsSinceSet int
+	executionsByKey  map[string]int
+	requests         []string
+	executions       int
+	disconnected     int
 }
 
-// StartService listens on address and announces the service until it is
-// closed.
+// StartService starts a service that listens on address and announces itself
+// until it is closed.
 func StartService(address string, options ServiceOptions) (*Service, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,64 +70,66 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
-		options:     options,
-		incarnation: uint64(time.Now().UnixMicro()),
-		gate:        NewGate(listener),
-		stop:        cancel,
-		executed:    make(map[string]int),
+		options:         options,
+		incarnation:     uint64(time.Now().UnixMicro()),
+		blackhole:       NewBlackholeListener(listener),
+		cancel:          cancel,
+		executionsByKey: make(map[string]int),
 	}
-	s.server = &http.Server{Handler: http.HandlerFunc(s.serve), Protocols: standinProtocols()}
-	s.done.Go(func() { _ = s.server.Serve(s.gate) })
-	s.done.Go(func() { s.announceLoop(ctx) })
+	s.server = &http.Server{Handler: http.HandlerFunc(s.serve), Protocols: supportedProtocols()}
+	s.goroutines.Go(func() { _ = s.server.Serve(s.blackhole) })
+	s.goroutines.Go(func() { s.announceLoop(ctx) })
 	return s, nil
 }
 
-// Close stops the service at once, cutting its answers.
+// Close stops the service immediately and aborts its responses.
 func (s *Service) Close() {
-	s.stop()
+	s.cancel()
 	_ = s.server.Close()
-	s.gate.Release()
-	s.done.Wait()
+	s.blackhole.CloseConnections()
+	s.goroutines.Wait()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults for new calls.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.hits = 0
+	s.requestsSinceSet = 0
 }
 
-// Silence makes the open connections silent and returns their count.
-func (s *Service) Silence() int { return s.gate.Silence() }
+// Silence blackholes the open connections and returns their number.
+func (s *Service) Silence() int { return s.blackhole.Blackhole() }
 
-// Executions returns how often calls with the given Idempotency-Key ran.
+// Executions returns the number of executed calls with the given
+// Idempotency-Key.
 func (s *Service) Executions(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.executed[key]
+	return s.executionsByKey[key]
 }
 
-// Total returns how many calls ran, Gone how many of their callers left before
-// the answer.
+// Total returns the number of executed calls.
 func (s *Service) Total() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.executions
 }
 
-// Gone returns how many callers left before their answer.
+// Gone returns the number of calls whose caller disconnected before the
+// response.
 func (s *Service) Gone() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gone
+	return s.disconnected
 }
 
-// Seen returns all requests as they arrived, header and body.
+// Seen returns the received requests in order: request line, headers, trailers
+// and the recorded body.
 func (s *Service) Seen() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.seen...)
+	return append([]string(nil), s.requests...)
 }
 
 func (s *Service) announceLoop(ctx context.Context) {
@@ -150,25 +153,26 @@
 		Kind:         target.KindService,
 		Zone:         o.Zone,
 		Region:       o.Region,
-		URL:          "http://" + s.gate.Addr().String(),
+		URL:          "http://" + s.blackhole.Addr().String(),
 		Service:      o.Service,
 		Capabilities: target.Capabilities{HTTP2: o.HTTP2},
 	}
 }
 
-// maxSeenBody bounds what is kept of a body.
-const maxSeenBody = 1 << 20
+// maxRecordedBody limits the bytes of a request body that are recorded and
+// echoed; the rest is only counted.
+const maxRecordedBody = 1 << 20
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxSeenBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRecordedBody))
 	if err != nil {
 		return
 	}
-	rest, _ := io.Copy(io.Discard, r.Body)
+	discarded, _ := io.Copy(io.Discard, r.Body)
 	faults := s.execute(r, body)
 	if !pause.For(r.Context(), faults.Delay) {
 		s.mu.Lock()
-		s.gone++
+		s.disconnected++
 		s.mu.Unlock()
 		return
 	}
@@ -177,14 +181,14 @@
 	}
 	w.Header().Set("Content-Type", r.Header.Get("Content-Type"))
 	w.Header().Set("X-Method", r.Method)
-	w.Header().Set("X-Bytes", fmt.Sprint(int64(len(body))+rest))
+	w.Header().Set("X-Bytes", fmt.Sprint(int64(len(body))+discarded))
 	if faults.Status != 0 {
 		w.WriteHeader(faults.Status)
 	}
-	s.answer(w, body, faults)
+	s.writeResponse(w, body, faults)
 }
 
-func (s *Service) answer(w http.ResponseWriter, body []byte, faults ServiceFaults) {
+func (s *Service) writeResponse(w http.ResponseWriter, body []byte, faults ServiceFaults) {
 	if faults.CutAfter == 0 || faults.CutAfter >= len(body) {
 		_, _ = w.Write(body)
 		return
@@ -194,15 +198,15 @@
 	panic(http.ErrAbortHandler)
 }
 
-// execute counts the call and returns the faults that hit it.
+// execute records the call as executed and returns the faults to inject into it.
 func (s *Service) execute(r *http.Request, body []byte) ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.executed[r.Header.Get("Idempotency-Key")]++
-	s.total++
-	s.seen = append(s.seen, fmt.Sprintf("%s %s %v %v %s", r.Method, r.RequestURI, r.Header, r.Trailer, body))
-	s.hits++
-	if s.faults.Requests > 0 && s.hits > s.faults.Requests {
+	s.executionsByKey[r.Header.Get("Idempotency-Key")]++
+	s.executions++
+	s.requests = append(s.requests, fmt.Sprintf("%s %s %v %v %s", r.Method, r.RequestURI, r.Header, r.Trailer, body))
+	s.requestsSinceSet++
+	if s.faults.Requests > 0 && s.requestsSinceSet > s.faults.Requests {
 		return ServiceFaults{}
 	}
 	return s.faults
