--- a/internal/scenario/calls_test.go
+++ b/internal/scenario/calls_test.go
@@ -13,65 +13,69 @@
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
-// callLimit ends a call whose answer never comes.
-const callLimit = 90 * time.Second
+// callTimeout limits a call, so that a lost response fails the script instead of
+// blocking it.
+const callTimeout = 90 * time.Second
 
-// The words of the stand-in's answers need no JSON escapes.
+// Matching JSON with patterns is safe here: the simulated engines generate text
+// that needs no JSON escapes.
 var (
 	contentPattern = regexp.MustCompile(`"content":"([^"\\]*)"`)
 	codePattern    = regexp.MustCompile(`"code":"(\w+)"`)
 )
 
-// pending is a call that may still be running. Its fields but lines may be read
-// once done is closed.
-type pending struct {
-	done  chan struct{}
-	lines atomic.Int64
-	// answer holds status, run, whole and failed, as scripts expect them.
-	answer map[string]string
-	text   strings.Builder
-	ends   int
+// pendingCall is a call that may still be in flight. Until done is closed, only
+// lineCount may be read.
+type pendingCall struct {
+	done      chan struct{}
+	lineCount atomic.Int64
+	// result holds the fields status, run, whole and failed, which scripts
+	// compare with the expect command.
+	result     map[string]string
+	text       strings.Builder
+	doneEvents int
 }
 
-// whole reports whether a call got the expected answer.
-func (p *pending) whole() bool { return p.answer["whole"] == "true" }
+// succeeded reports whether the call got the complete expected response.
+func (p *pendingCall) succeeded() bool { return p.result["whole"] == "true" }
 
-// complete sends a completion call. Its answer is whole if it is that of a
-// healthy engine.
-func (w *world) complete(label string, v *vm, tokens int, stream bool) *pending {
+// startCompletion sends a completion call. The response is complete if its text
+// equals that of a healthy engine and, for a stream, it has one end marker.
+func (c *testCluster) startCompletion(label string, v *vm, tokens int, stream bool) *pendingCall {
 	messages := fmt.Sprintf(`[{"role":"user","content":%q}]`, "dossier "+label)
-	body := fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":%s}`, model, stream, tokens, messages)
-	ends := 0
+	body := fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":%s}`, modelName, stream, tokens, messages)
+	wantDoneEvents := 0
 	if stream {
-		ends = 1
+		wantDoneEvents = 1
 	}
-	return w.send(v, "/v1/chat/completions", body, "", func(p *pending) bool {
-		return p.ends == ends && p.text.String() == standin.Answer([]byte(messages), tokens)
+	return c.startCall(v, "/v1/chat/completions", body, "", func(p *pendingCall) bool {
+		return p.doneEvents == wantDoneEvents && p.text.String() == standin.Answer([]byte(messages), tokens)
 	})
 }
 
-// order sends an at-most-once call. The service answers with its body.
-func (w *world) order(v *vm, key string) *pending {
-	return w.send(v, "/orders", "order "+key, key, func(p *pending) bool { return p.text.String() == "order "+key })
+// startOrder sends an at-most-once call. The response is complete if it echoes
+// the request body.
+func (c *testCluster) startOrder(v *vm, key string) *pendingCall {
+	return c.startCall(v, "/orders", "order "+key, key, func(p *pendingCall) bool { return p.text.String() == "order "+key })
 }
 
-func (w *world) send(v *vm, path, body, key string, whole func(*pending) bool) *pending {
-	p := &pending{done: make(chan struct{}), answer: make(map[string]string)}
+func (c *testCluster) startCall(v *vm, path, body, key string, isWhole func(*pendingCall) bool) *pendingCall {
+	p := &pendingCall{done: make(chan struct{}), result: make(map[string]string)}
 	url := "http://" + v.settings.CallerAddress + path
-	w.callers.Go(func() {
+	c.callers.Go(func() {
 		defer close(p.done)
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
-		err := p.run(ctx, url, body, key)
+		err := p.do(ctx, url, body, key)
 		if err != nil {
-			p.answer["failed"] = err.Error()
+			p.result["failed"] = err.Error()
 		}
-		p.answer["whole"] = fmt.Sprint(p.answer["failed"] == "" && p.answer["status"] == "200" && whole(p))
+		p.result["whole"] = fmt.Sprint(p.result["failed"] == "" && p.result["status"] == "200" && isWhole(p))
 	})
 	return p
 }
 
-func (p *pending) run(ctx context.Context, url, body, key string) error {
+func (p *pendingCall) do(ctx context.Context, url, body, key string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return err
@@ -85,24 +89,25 @@
 		return err
 	}
 	defer resp.Body.Close()
-	p.answer["status"], p.answer["run"] = fmt.Sprint(resp.StatusCode), resp.Header.Get("Cuminwing-Run")
+	p.result["status"], p.result["run"] = fmt.Sprint(resp.StatusCode), resp.Header.Get("Cuminwing-Run")
 	scanner := bufio.NewScanner(resp.Body)
 	for scanner.Scan() {
-		p.line(scanner.Text(), key != "")
+		p.handleLine(scanner.Text(), key != "")
 	}
 	return scanner.Err()
 }
 
-// line takes one line of an answer; plain services answer with plain text.
-func (p *pending) line(line string, plain bool) {
-	p.lines.Add(1)
+// handleLine processes one line of a response. Plain services respond with plain
+// text.
+func (p *pendingCall) handleLine(line string, plainText bool) {
+	p.lineCount.Add(1)
 	if code := codePattern.FindStringSubmatch(line); code != nil {
-		p.answer["failed"] = code[1]
+		p.result["failed"] = code[1]
 	}
 	if line == "data: [DONE]" {
-		p.ends++
+		p.doneEvents++
 	}
-	if plain {
+	if plainText {
 		p.text.WriteString(line)
 	}
 	for _, content := range contentPattern.FindAllStringSubmatch(line, -1) {
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -20,50 +20,51 @@
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
-// scenarioCommand runs one line of a script.
-type scenarioCommand func(w *world, args []string)
+// commandFunc executes one line of a script.
+type commandFunc func(c *testCluster, args []string)
 
-// commands are the words of the scripts; wrap gives each its world.
+// commands maps the command names in scripts to their functions. The first
+// argument of wrapCommand is the minimum number of arguments.
 var commands = map[string]func(*testscript.TestScript, bool, []string){
-	"fleet":      wrap(1, cmdFleet),
-	"engine":     wrap(2, cmdEngine),
-	"service":    wrap(3, cmdService),
-	"delay":      wrap(2, cmdDelay),
-	"silence":    wrap(1, cmdSilence),
-	"crash":      wrap(1, cmdCrash),
-	"restart":    wrap(1, cmdRestart),
-	"shutdown":   wrap(1, cmdShutdown),
-	"cut":        wrap(1, cmdCut),
-	"heal":       wrap(1, cmdHeal),
-	"call":       wrap(2, cmdCall),
-	"order":      wrap(3, cmdOrder),
-	"serves":     wrap(1, cmdServes),
-	"streaming":  wrap(2, cmdStreaming),
-	"expect":     wrap(2, cmdExpect),
-	"executions": wrap(2, cmdExecutions),
-	"edit":       wrap(2, cmdEdit),
-	"in-force":   wrap(1, cmdInForce),
-	"withdraw":   wrap(1, cmdWithdraw),
-	"refused":    wrap(1, cmdRefused),
-	"ready":      wrap(0, cmdReady),
-	"not-edited": wrap(2, cmdNotEdited),
-	"race":       wrap(2, cmdRace),
-	"flood":      wrap(2, cmdFlood),
-}
-
-func wrap(least int, f scenarioCommand) func(*testscript.TestScript, bool, []string) {
+	"fleet":      wrapCommand(1, cmdFleet),
+	"engine":     wrapCommand(2, cmdEngine),
+	"service":    wrapCommand(3, cmdService),
+	"delay":      wrapCommand(2, cmdDelay),
+	"silence":    wrapCommand(1, cmdSilence),
+	"crash":      wrapCommand(1, cmdCrash),
+	"restart":    wrapCommand(1, cmdRestart),
+	"shutdown":   wrapCommand(1, cmdShutdown),
+	"cut":        wrapCommand(1, cmdCut),
+	"heal":       wrapCommand(1, cmdHeal),
+	"call":       wrapCommand(2, cmdCall),
+	"order":      wrapCommand(3, cmdOrder),
+	"serves":     wrapCommand(1, cmdServes),
+	"streaming":  wrapCommand(2, cmdStreaming),
+	"expect":     wrapCommand(2, cmdExpect),
+	"executions": wrapCommand(2, cmdExecutions),
+	"edit":       wrapCommand(2, cmdEdit),
+	"in-force":   wrapCommand(1, cmdInForce),
+	"withdraw":   wrapCommand(1, cmdWithdraw),
+	"refused":    wrapCommand(1, cmdRefused),
+	"ready":      wrapCommand(0, cmdReady),
+	"not-edited": wrapCommand(2, cmdNotEdited),
+	"race":       wrapCommand(2, cmdRace),
+	"flood":      wrapCommand(2, cmdFlood),
+}
+
+func wrapCommand(minArgs int, f commandFunc) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
-		if neg || len(args) < least {
-			ts.Fatalf("bad use of the command")
+		if neg || len(args) < minArgs {
+			ts.Fatalf("usage error: command is negated or lacks arguments")
 		}
-		w := ts.Value(worldKey{}).(*world)
-		w.TestScript = ts
-		f(w, args)
+		c := ts.Value(clusterKey{}).(*testCluster)
+		c.TestScript = ts
+		f(c, args)
 	}
 }
 
-// options reads arguments of the form name=value.
-func options(args []string) map[string]string {
+// parseOptions parses arguments of the form name=value.
+func parseOptions(args []string) map[string]string {
 	out := make(map[string]string)
 	for _, a := range args {
 		name, value, _ := strings.Cut(a, "=")
@@ -72,139 +73,144 @@
 	return out
 }
 
-func (w *world) number(text string, otherwise int) int {
+func (c *testCluster) parseInt(text string, fallback int) int {
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
-	w.Check(err)
+	c.Check(err)
 	return n
 }
 
-func (w *world) await(what string, ok func() bool) {
-	for end := time.Now().Add(patience); !ok(); time.Sleep(poll) {
+func (c *testCluster) waitFor(condition string, ok func() bool) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			w.Fatalf("no %s after %s", what, patience)
+			c.Fatalf("timed out waiting for %s after %s", condition, waitTimeout)
 		}
 	}
 }
 
-func (w *world) vm(name string) *vm {
-	v := w.vms[w.resolve(name)]
+func (c *testCluster) runningVM(name string) *vm {
+	v := c.vms[c.resolveName(name)]
 	if v == nil || v.node == nil {
-		w.Fatalf("no VM %s is running", name)
+		c.Fatalf("VM %s does not exist or is not running", name)
 	}
 	return v
 }
 
-// match returns the VMs that are named, or stand in the named zone.
-func (w *world) match(name string) (out []*vm) {
-	for _, n := range w.names {
-		if v := w.vms[n]; name == "all" || name == n || name == v.settings.Zone {
+// matchVMs returns the VM with the given name, the VMs of the zone with that
+// name, or all VMs if the name is "all".
+func (c *testCluster) matchVMs(name string) (out []*vm) {
+	for _, n := range c.names {
+		if v := c.vms[n]; name == "all" || name == n || name == v.settings.Zone {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// cmdFleet starts VMs: fleet ZONE=COUNT... [rate=N] [burst=N] [wait=MS].
-func cmdFleet(w *world, args []string) {
-	set := options(args)
+// cmdFleet starts the VMs and applies the first configuration: fleet
+// ZONE=COUNT... [rate=N] [burst=N] [wait=MS].
+func cmdFleet(c *testCluster, args []string) {
+	set := parseOptions(args)
 	slots := make(map[string]int)
-	for zone := range regions {
-		if count := w.number(set[zone], 0); count > 0 {
+	for zone := range zoneRegions {
+		if count := c.parseInt(set[zone], 0); count > 0 {
 			slots[zone] = count
 			for i := range count {
-				w.Check(w.plan(zone, i))
+				c.Check(c.addVM(zone, i))
 			}
 		}
 	}
-	rate := config.Rate{RateTokensPerSecond: float64(w.number(set["rate"], 1e6)), BurstTokens: float64(w.number(set["burst"], 1e6)), MaxWaitMS: w.number(set["wait"], 10000)}
-	w.document = baseDocument(slots, rate)
-	w.join()
-	for _, v := range w.vms {
-		w.Check(w.start(v))
+	rate := config.Rate{RateTokensPerSecond: float64(c.parseInt(set["rate"], 1e6)), BurstTokens: float64(c.parseInt(set["burst"], 1e6)), MaxWaitMS: c.parseInt(set["wait"], 10000)}
+	c.document = baseDocument(slots, rate)
+	c.setVotersAndJoin()
+	for _, v := range c.vms {
+		c.Check(c.startVM(v))
 	}
-	cmdReady(w, nil)
-	edit, err := sections.FirstEdit("first", w.document)
-	w.Check(err)
-	v := w.vms[w.names[0]]
-	w.await("first configuration", func() bool { return apply(v, edit) == configv1.Outcome_OUTCOME_ACCEPTED })
+	cmdReady(c, nil)
+	edit, err := sections.FirstEdit("first", c.document)
+	c.Check(err)
+	v := c.vms[c.names[0]]
+	c.waitFor("acceptance of the first configuration", func() bool { return applyEdit(v, edit) == configv1.Outcome_OUTCOME_ACCEPTED })
 }
 
-// cmdReady waits until the running VMs see each other, all targets and a leader.
-func cmdReady(w *world, _ []string) {
+// cmdReady waits until every running VM sees the other running VMs, all targets
+// and a leader.
+func cmdReady(c *testCluster, _ []string) {
 	up := 0
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		if v.node != nil {
 			up++
 		}
 	}
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		if v.node != nil {
-			w.await("ready VM "+v.settings.VM, func() bool { return v.node.Knows(up, len(w.engines)+len(w.services)) })
+			c.waitFor("readiness of VM "+v.settings.VM, func() bool { return v.node.Knows(up, len(c.engines)+len(c.services)) })
 		}
 	}
 }
 
 // cmdEngine starts an engine: engine ID ZONE [interval=DURATION].
-func cmdEngine(w *world, args []string) {
+func cmdEngine(c *testCluster, args []string) {
 	interval := 2 * time.Millisecond
-	if text := options(args[2:])["interval"]; text != "" {
+	if text := parseOptions(args[2:])["interval"]; text != "" {
 		d, err := time.ParseDuration(text)
-		w.Check(err)
+		c.Check(err)
 		interval = d
 	}
 	id, zone := args[0], args[1]
 	e, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{
-		ID: id, Zone: zone, Region: regions[zone], Model: model, Version: "v1",
-		TokenInterval: interval, BatchSlots: 64, Announce: w.announceTo(zone),
+		ID: id, Zone: zone, Region: zoneRegions[zone], Model: modelName, Version: "v1",
+		TokenInterval: interval, BatchSlots: 64, Announce: c.targetListenerURLs(zone),
 	})
-	w.Check(err)
-	w.network.add(place{id, zone, regions[zone]}, strings.TrimPrefix(e.URL(), "http://"))
-	w.engines[id] = e
-	cmdReady(w, nil)
+	c.Check(err)
+	c.network.add(site{id, zone, zoneRegions[zone]}, strings.TrimPrefix(e.URL(), "http://"))
+	c.engines[id] = e
+	cmdReady(c, nil)
 }
 
 // cmdService starts a replica of a plain service: service NAME ID ZONE.
-func cmdService(w *world, args []string) {
+func cmdService(c *testCluster, args []string) {
 	address, err := loopback.Address()
-	w.Check(err)
+	c.Check(err)
 	id, zone := args[1], args[2]
-	s, err := standin.StartService(address, standin.ServiceOptions{ID: id, Zone: zone, Region: regions[zone], Service: args[0], Announce: w.announceTo(zone)})
-	w.Check(err)
-	w.network.add(place{id, zone, regions[zone]}, address)
-	w.services[id] = s
-	cmdReady(w, nil)
+	s, err := standin.StartService(address, standin.ServiceOptions{ID: id, Zone: zone, Region: zoneRegions[zone], Service: args[0], Announce: c.targetListenerURLs(zone)})
+	c.Check(err)
+	c.network.add(site{id, zone, zoneRegions[zone]}, address)
+	c.services[id] = s
+	cmdReady(c, nil)
 }
 
-// cmdDelay sets the time between execution and answer: delay SERVICE DURATION.
-func cmdDelay(w *world, args []string) {
+// cmdDelay sets the time between execution and response on a service replica:
+// delay ID DURATION.
+func cmdDelay(c *testCluster, args []string) {
 	delay, err := time.ParseDuration(args[1])
-	w.Check(err)
-	w.services[args[0]].SetFaults(standin.ServiceFaults{Delay: delay})
+	c.Check(err)
+	c.services[args[0]].SetFaults(standin.ServiceFaults{Delay: delay})
 }
 
-// cmdSilence makes the open connections of an engine silent; there must be one.
-func cmdSilence(w *world, args []string) {
-	if w.engines[args[0]].Silence() == 0 {
-		w.Fatalf("no connection was open")
+// cmdSilence blackholes the open connections of an engine: silence ID. At least
+// one connection must be open.
+func cmdSilence(c *testCluster, args []string) {
+	if c.engines[args[0]].Silence() == 0 {
+		c.Fatalf("engine has no open connection to blackhole")
 	}
 }
 
-// cmdCrash stops an engine, a VM, or all VMs of a zone at once. The engine
-// "busy" is one that has a request in work.
-func cmdCrash(w *world, args []string) {
-	name := w.resolve(args[0])
+// cmdCrash stops an engine, a VM or all VMs of a zone immediately: crash NAME.
+// "busy" names an engine with a request in flight.
+func cmdCrash(c *testCluster, args []string) {
+	name := c.resolveName(args[0])
 	if name == "busy" {
-		name = w.busyEngine()
+		name = c.findBusyEngine()
 	}
-	if e := w.engines[name]; e != nil {
+	if e := c.engines[name]; e != nil {
 		e.Close()
-		delete(w.engines, name)
+		delete(c.engines, name)
 		return
 	}
-	for _, v := range w.match(name) {
+	for _, v := range c.matchVMs(name) {
 		if v.node != nil {
 			v.node.Close()
 			v.node = nil
@@ -212,155 +218,162 @@
 	}
 }
 
-func (w *world) busyEngine() string {
-	for id, e := range w.engines {
+func (c *testCluster) findBusyEngine() string {
+	for id, e := range c.engines {
 		if e.Running() > 0 {
 			return id
 		}
 	}
-	w.Fatalf("no engine has a request in work")
+	c.Fatalf("no engine has a request in flight")
 	return ""
 }
 
-// cmdRestart crashes VMs and starts them again.
-func cmdRestart(w *world, args []string) {
-	cmdCrash(w, args)
-	for _, v := range w.match(w.resolve(args[0])) {
-		w.Check(w.start(v))
+// cmdRestart crashes VMs and starts them again: restart NAME.
+func cmdRestart(c *testCluster, args []string) {
+	cmdCrash(c, args)
+	for _, v := range c.matchVMs(c.resolveName(args[0])) {
+		c.Check(c.startVM(v))
 	}
 }
 
-// cmdShutdown stops a VM gracefully.
-func cmdShutdown(w *world, args []string) {
-	v := w.vm(args[0])
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// cmdShutdown shuts a VM down gracefully: shutdown VM.
+func cmdShutdown(c *testCluster, args []string) {
+	v := c.runningVM(args[0])
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	w.Check(v.node.Shutdown(ctx))
+	c.Check(v.node.Shutdown(ctx))
 	v.node = nil
 }
 
-// cmdCut cuts a VM, zone or region off: cut NAME [silent].
-func cmdCut(w *world, args []string) {
-	w.network.cut(w.resolve(args[0]), len(args) > 1 && args[1] == "silent")
+// cmdCut partitions a VM, zone or region from the rest of the network: cut NAME
+// [silent].
+func cmdCut(c *testCluster, args []string) {
+	c.network.cut(c.resolveName(args[0]), len(args) > 1 && args[1] == "silent")
 }
 
-func cmdHeal(w *world, args []string) {
-	w.network.heal(w.resolve(args[0]))
+func cmdHeal(c *testCluster, args []string) {
+	c.network.heal(c.resolveName(args[0]))
 }
 
-// cmdCall starts a completion call: call LABEL VM [tokens=N] [whole].
-func cmdCall(w *world, args []string) {
-	set := options(args[2:])
+// cmdCall starts a completion call: call LABEL VM [tokens=N] [whole]. The call
+// streams unless "whole" is given.
+func cmdCall(c *testCluster, args []string) {
+	set := parseOptions(args[2:])
 	_, whole := set["whole"]
-	w.calls[args[0]] = w.complete(args[0], w.vm(args[1]), w.number(set["tokens"], 40), !whole)
+	c.pendingCalls[args[0]] = c.startCompletion(args[0], c.runningVM(args[1]), c.parseInt(set["tokens"], 40), !whole)
 }
 
-// cmdServes waits until VMs serve: serves VM.... Until the targets have
-// announced themselves again to a restarted VM, it may refuse with not-run.
-func cmdServes(w *world, args []string) {
+// cmdServes waits until VMs serve completions: serves VM.... A restarted VM may
+// refuse calls as not-run until the targets have announced themselves to it.
+func cmdServes(c *testCluster, args []string) {
 	for _, name := range args {
-		v := w.vm(name)
-		w.await("answer of "+name, func() bool {
-			p := w.complete("serves-"+name, v, 20, true)
+		v := c.runningVM(name)
+		c.waitFor("a successful completion through VM "+name, func() bool {
+			p := c.startCompletion("serves-"+name, v, 20, true)
 			<-p.done
-			if !p.whole() && (p.answer["status"] != "503" || p.answer["run"] != "not-run") {
-				w.Fatalf("%s: got %v", name, p.answer)
+			if !p.succeeded() && (p.result["status"] != "503" || p.result["run"] != "not-run") {
+				c.Fatalf("completion through VM %s failed: %v", name, p.result)
 			}
-			return p.whole()
+			return p.succeeded()
 		})
 	}
 }
 
 // cmdOrder starts an at-most-once call: order LABEL VM KEY.
-func cmdOrder(w *world, args []string) {
-	w.calls[args[0]] = w.order(w.vm(args[1]), args[2])
+func cmdOrder(c *testCluster, args []string) {
+	c.pendingCalls[args[0]] = c.startOrder(c.runningVM(args[1]), args[2])
 }
 
-// cmdStreaming waits until a call has got so many lines: streaming LABEL N.
-func cmdStreaming(w *world, args []string) {
-	p, least := w.calls[args[0]], int64(w.number(args[1], 0))
-	w.await("lines of "+args[0], func() bool { return p.lines.Load() >= least })
+// cmdStreaming waits until a call has received at least N lines: streaming LABEL
+// N.
+func cmdStreaming(c *testCluster, args []string) {
+	p, wantLines := c.pendingCalls[args[0]], int64(c.parseInt(args[1], 0))
+	c.waitFor("response lines of call "+args[0], func() bool { return p.lineCount.Load() >= wantLines })
 }
 
-// cmdExpect waits for an answer: expect LABEL FIELD=VALUE...
-func cmdExpect(w *world, args []string) {
-	p := w.calls[args[0]]
+// cmdExpect waits for the end of a call and compares fields of its result:
+// expect LABEL FIELD=VALUE...
+func cmdExpect(c *testCluster, args []string) {
+	p := c.pendingCalls[args[0]]
 	<-p.done
-	for name, want := range options(args[1:]) {
-		if p.answer[name] != want {
-			w.Fatalf("%s: got %v, want %s=%s", args[0], p.answer, name, want)
+	for name, want := range parseOptions(args[1:]) {
+		if p.result[name] != want {
+			c.Fatalf("call %s: got %v, want %s=%s", args[0], p.result, name, want)
 		}
 	}
 }
 
-// cmdExecutions waits until the services have run a call so many times in all,
-// and fails if they have run it more often: executions KEY N.
-func cmdExecutions(w *world, args []string) {
+// cmdExecutions waits until the services have executed a call N times in total,
+// and fails if they executed it more often: executions KEY N.
+func cmdExecutions(c *testCluster, args []string) {
 	count := func() (sum int) {
-		for _, s := range w.services {
+		for _, s := range c.services {
 			sum += s.Executions(args[0])
 		}
 		return sum
 	}
-	want := w.number(args[1], 0)
-	w.await("execution", func() bool { return count() >= want })
+	want := c.parseInt(args[1], 0)
+	c.waitFor("executions", func() bool { return count() >= want })
 	if got := count(); got != want {
-		w.Fatalf("%d executions, want %d", got, want)
+		c.Fatalf("got %d executions, want %d", got, want)
 	}
 }
 
-func admin(v *vm) adminv1.AdminService {
+func adminClient(v *vm) adminv1.AdminService {
 	return adminv1.NewAdminServiceProtobufClient("http://"+v.settings.AdminAddress, http.DefaultClient)
 }
 
-// apply sends an edit and returns its outcome, unspecified without an answer.
-func apply(v *vm, edit *configv1.Edit) configv1.Outcome {
+// applyEdit sends an edit and returns its outcome. The outcome is unspecified if
+// the request fails or edit is nil.
+func applyEdit(v *vm, edit *configv1.Edit) configv1.Outcome {
 	if edit == nil {
 		return configv1.Outcome_OUTCOME_UNSPECIFIED
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	response, err := admin(v).ApplyConfig(ctx, &adminv1.ApplyConfigRequest{Edit: edit})
+	response, err := adminClient(v).ApplyConfig(ctx, &adminv1.ApplyConfigRequest{Edit: edit})
 	if err != nil {
 		return configv1.Outcome_OUTCOME_UNSPECIFIED
 	}
 	return response.GetResult().GetOutcome()
 }
 
-// cmdEdit sets the heartbeat limit through a VM: edit VM VALUE [times=N]. The
-// values of several edits count upwards.
-func cmdEdit(w *world, args []string) {
-	v, first := w.vm(args[0]), w.number(args[1], 0)
-	for i := range w.number(options(args[2:])["times"], 1) {
-		_, err := w.edit([]*vm{v}, first+i)
-		w.Check(err)
+// cmdEdit sets the heartbeat limit through a VM: edit VM VALUE [times=N]. Each
+// further edit increments the value by one.
+func cmdEdit(c *testCluster, args []string) {
+	v, first := c.runningVM(args[0]), c.parseInt(args[1], 0)
+	for i := range c.parseInt(parseOptions(args[2:])["times"], 1) {
+		_, err := c.applyWithRetry([]*vm{v}, first+i)
+		c.Check(err)
 	}
 }
 
-// edit resends one edit under its ID, through one VM after the other, while it
-// has no answer, and makes a new one where another edit won. It returns the ID.
-func (w *world) edit(through []*vm, value int) (string, error) {
+// applyWithRetry sends an edit through the VMs in turn. It retries with the same
+// edit ID while the outcome is unknown, and with a new edit after a conflict. It
+// returns the ID of the accepted edit.
+func (c *testCluster) applyWithRetry(vms []*vm, value int) (string, error) {
 	var edit *configv1.Edit
-	end := time.Now().Add(patience)
-	for try := 0; time.Now().Before(end); try++ {
-		v := through[try%len(through)]
+	end := time.Now().Add(waitTimeout)
+	for attempt := 0; time.Now().Before(end); attempt++ {
+		v := vms[attempt%len(vms)]
 		if edit == nil {
-			edit = w.newEdit(v, value)
+			edit = c.newEdit(v, value)
 		}
-		switch apply(v, edit) {
+		switch applyEdit(v, edit) {
 		case configv1.Outcome_OUTCOME_ACCEPTED:
 			return edit.GetId(), nil
 		case configv1.Outcome_OUTCOME_CONFLICT:
 			edit = nil
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
-	return "", fmt.Errorf("value %d was not accepted within %s", value, patience)
+	return "", fmt.Errorf("edit to value %d was not accepted within %s", value, waitTimeout)
 }
 
-// newEdit makes an edit on the revision that the VM has now.
-func (w *world) newEdit(v *vm, value int) *configv1.Edit {
-	current, err := admin(v).GetConfig(context.Background(), &adminv1.GetConfigRequest{})
+// newEdit returns an edit based on the current revision of the VM, or nil if the
+// VM does not return its configuration.
+func (c *testCluster) newEdit(v *vm, value int) *configv1.Edit {
+	current, err := adminClient(v).GetConfig(context.Background(), &adminv1.GetConfigRequest{})
 	if err != nil {
 		return nil
 	}
@@ -370,46 +383,47 @@
 			section.BaseRevision = s.GetRevision()
 		}
 	}
-	return &configv1.Edit{Id: fmt.Sprint("edit-", w.edits.Add(1)), Sections: []*configv1.SectionEdit{section}}
+	return &configv1.Edit{Id: fmt.Sprint("edit-", c.editCount.Add(1)), Sections: []*configv1.SectionEdit{section}}
 }
 
-// cmdInForce waits until a value is in force on the running VMs: in-force VALUE
-// [NAME]. The name of a VM or zone bounds where.
-func cmdInForce(w *world, args []string) {
-	want, where := w.number(args[0], 0), "all"
+// cmdInForce waits until a heartbeat limit is in force on the running VMs:
+// in-force VALUE [NAME]. NAME restricts the check to a VM or zone.
+func cmdInForce(c *testCluster, args []string) {
+	want, group := c.parseInt(args[0], 0), "all"
 	if len(args) > 1 {
-		where = args[1]
+		group = args[1]
 	}
-	for _, v := range w.match(where) {
+	for _, v := range c.matchVMs(group) {
 		if v.node == nil {
 			continue
 		}
-		w.await("value in force on "+v.settings.VM, func() bool {
+		c.waitFor("the new heartbeat limit on VM "+v.settings.VM, func() bool {
 			s := v.node.Snapshot()
 			return s != nil && int(s.Document.Limits.HeartbeatMS) == want
 		})
 	}
 }
 
-// cmdWithdraw withdraws the key of the callers through a VM.
-func cmdWithdraw(w *world, args []string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// cmdWithdraw withdraws the callers' API key through a VM: withdraw VM.
+func cmdWithdraw(c *testCluster, args []string) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.ToBytes([]keys.Hash{keys.Sum(callerKey)}), EditId: "withdrawal"}
-	_, err := admin(w.vm(args[0])).WithdrawKeys(ctx, request)
-	w.Check(err)
+	_, err := adminClient(c.runningVM(args[0])).WithdrawKeys(ctx, request)
+	c.Check(err)
 }
 
-// cmdRefused waits until the VMs of a zone, or all, refuse the key.
-func cmdRefused(w *world, args []string) {
-	for _, v := range w.match(args[0]) {
+// cmdRefused waits until VMs refuse the callers' API key: refused NAME, where
+// NAME is a VM, a zone or "all".
+func cmdRefused(c *testCluster, args []string) {
+	for _, v := range c.matchVMs(args[0]) {
 		if v.node == nil {
 			continue
 		}
-		w.await("refusal on "+v.settings.VM, func() bool {
-			p := w.complete(fmt.Sprint("probe-", v.settings.VM), v, 1, false)
+		c.waitFor("refusal of the API key by VM "+v.settings.VM, func() bool {
+			p := c.startCompletion(fmt.Sprint("probe-", v.settings.VM), v, 1, false)
 			<-p.done
-			return p.answer["status"] == "401"
+			return p.result["status"] == "401"
 		})
 	}
 }
--- a/internal/scenario/invariants_test.go
+++ b/internal/scenario/invariants_test.go
@@ -14,18 +14,19 @@
 	statusv1 "github.com/cuminwing/cuminwing/proto/status/v1"
 )
 
-// resolve turns the names "leader", "old-leader" (the last VM named as leader)
-// and "other" (a running VM that is not the old leader) into that of a VM.
-func (w *world) resolve(name string) string {
+// resolveName maps "leader", "old-leader" (the VM that "leader" last resolved to)
+// and "other" (a running VM that is not the old leader) to the name of a VM. It
+// returns other names unchanged.
+func (c *testCluster) resolveName(name string) string {
 	switch name {
 	case "leader":
-		w.await("leader", func() bool { return w.findLeader() })
-		return w.oldLeader
+		c.waitFor("a leader", func() bool { return c.findLeader() })
+		return c.lastLeader
 	case "old-leader":
-		return w.oldLeader
+		return c.lastLeader
 	case "other":
-		for _, n := range w.names {
-			if n != w.oldLeader && w.vms[n].node != nil {
+		for _, n := range c.names {
+			if n != c.lastLeader && c.vms[n].node != nil {
 				return n
 			}
 		}
@@ -33,99 +34,100 @@
 	return name
 }
 
-// findLeader asks the running voters; the leader is the one that names itself.
-func (w *world) findLeader() bool {
-	for _, name := range w.names {
-		v := w.vms[name]
+// findLeader queries the status of the running VMs and records the VM that
+// reports itself as the leader.
+func (c *testCluster) findLeader() bool {
+	for _, name := range c.names {
+		v := c.vms[name]
 		if v.node == nil {
 			continue
 		}
 		client := statusv1.NewStatusServiceProtobufClient("http://"+v.settings.AdminAddress, http.DefaultClient)
 		status, err := client.Get(context.Background(), &statusv1.GetRequest{})
 		if err == nil && status.GetLeader() == name {
-			w.oldLeader = name
+			c.lastLeader = name
 			return true
 		}
 	}
 	return false
 }
 
-// cmdNotEdited sends an edit that must not be accepted: not-edited VM VALUE.
-func cmdNotEdited(w *world, args []string) {
-	v := w.vm(args[0])
-	edit := w.newEdit(v, w.number(args[1], 0))
+// cmdNotEdited sends an edit and fails if it is accepted: not-edited VM VALUE.
+func cmdNotEdited(c *testCluster, args []string) {
+	v := c.runningVM(args[0])
+	edit := c.newEdit(v, c.parseInt(args[1], 0))
 	if edit == nil {
-		w.Fatalf("%s does not answer", args[0])
+		c.Fatalf("VM %s did not return its configuration", args[0])
 	}
-	if apply(v, edit) == configv1.Outcome_OUTCOME_ACCEPTED {
-		w.Fatalf("the edit was accepted")
+	if applyEdit(v, edit) == configv1.Outcome_OUTCOME_ACCEPTED {
+		c.Fatalf("edit was accepted, want rejection or no outcome")
 	}
 }
 
-// cmdRace lets one operator per VM send edits at the same time while the leader
-// crashes, and checks that every accepted edit is in the history exactly once:
-// race EDITS VM....
-func cmdRace(w *world, args []string) {
-	count := w.number(args[0], 0)
+// cmdRace sends edits from one operator per VM concurrently, crashes the leader
+// meanwhile, and checks that every accepted edit is in the history exactly once:
+// race EDITS VM..., where EDITS is the number of edits per operator.
+func cmdRace(c *testCluster, args []string) {
+	count := c.parseInt(args[0], 0)
 	var operators sync.WaitGroup
 	var mu sync.Mutex
 	var accepted []string
-	var failed error
-	var through []*vm
+	var lastErr error
+	var vms []*vm
 	for _, name := range args[1:] {
-		through = append(through, w.vm(name))
+		vms = append(vms, c.runningVM(name))
 	}
-	for o := range through {
-		// Each operator starts at another VM.
-		own := append(append([]*vm(nil), through[o:]...), through[:o]...)
+	for operator := range vms {
+		// Each operator sends its edits through a different VM first.
+		rotated := append(append([]*vm(nil), vms[operator:]...), vms[:operator]...)
 		operators.Go(func() {
 			for i := range count {
-				id, err := w.edit(own, 1000+100*o+i)
+				id, err := c.applyWithRetry(rotated, 1000+100*operator+i)
 				mu.Lock()
 				if err != nil {
-					failed = err
+					lastErr = err
 				}
 				accepted = append(accepted, id)
 				mu.Unlock()
 			}
 		})
 	}
-	w.await("first accepted edits", func() bool {
+	c.waitFor("more accepted edits than operators", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(accepted) > len(through)
+		return len(accepted) > len(vms)
 	})
-	cmdCrash(w, []string{"leader"})
+	cmdCrash(c, []string{"leader"})
 	operators.Wait()
-	w.Check(failed)
-	w.checkHistory(accepted)
+	c.Check(lastErr)
+	c.checkHistory(accepted)
 }
 
-func (w *world) checkHistory(accepted []string) {
-	v := w.vm(w.resolve("other"))
-	w.await("history with all edits", func() bool {
-		answer, err := admin(v).History(context.Background(), &adminv1.HistoryRequest{})
+func (c *testCluster) checkHistory(accepted []string) {
+	v := c.runningVM(c.resolveName("other"))
+	c.waitFor("a history with exactly the accepted edits", func() bool {
+		history, err := adminClient(v).History(context.Background(), &adminv1.HistoryRequest{})
 		if err != nil {
 			return false
 		}
 		seen := make(map[string]int)
-		for _, c := range answer.GetChanges() {
-			seen[c.GetEdit().GetId()]++
+		for _, change := range history.GetChanges() {
+			seen[change.GetEdit().GetId()]++
 		}
 		for _, id := range accepted {
 			if seen[id] > 1 {
-				w.Fatalf("edit %s was applied %d times", id, seen[id])
+				c.Fatalf("edit %s was applied %d times", id, seen[id])
 			}
 			if seen[id] == 0 {
 				return false
 			}
 		}
-		// One more is the first document.
+		// The additional entry is the first configuration.
 		return len(seen) == len(accepted)+1
 	})
-	w.await("equal revision on all VMs", func() bool {
+	c.waitFor("the same revision on all running VMs", func() bool {
 		revisions := make(map[uint64]bool)
-		for _, other := range w.vms {
+		for _, other := range c.vms {
 			if other.node != nil && other.node.Snapshot() != nil {
 				revisions[other.node.Snapshot().Revision] = true
 			}
@@ -137,25 +139,25 @@
 // floodCallers is the number of concurrent callers of each VM in a flood.
 const floodCallers = 8
 
-// cmdFlood sends calls through all VMs for a while and checks that the
-// completed ones fit into rate x T + burst: flood DURATION tokens=N. It counts
-// the generated tokens only, so that the bound is never exceeded by rounding.
-func cmdFlood(w *world, args []string) {
-	length, err := time.ParseDuration(args[0])
-	w.Check(err)
-	tokens := w.number(options(args)["tokens"], 0)
+// cmdFlood sends calls through all VMs for a time and checks that the completed
+// calls stay within rate x T + burst tokens: flood DURATION tokens=N. It counts
+// generated tokens only, so that rounding cannot exceed the bound.
+func cmdFlood(c *testCluster, args []string) {
+	duration, err := time.ParseDuration(args[0])
+	c.Check(err)
+	tokens := c.parseInt(parseOptions(args)["tokens"], 0)
 	served := make(map[string]*atomic.Int64)
 	var callers sync.WaitGroup
 	begin := time.Now()
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		count := new(atomic.Int64)
 		served[v.settings.VM] = count
-		for c := range floodCallers {
+		for caller := range floodCallers {
 			callers.Go(func() {
-				for i := 0; time.Since(begin) < length; i++ {
-					p := w.complete(fmt.Sprint(v.settings.VM, c, "-", i), v, tokens, false)
+				for i := 0; time.Since(begin) < duration; i++ {
+					p := c.startCompletion(fmt.Sprint(v.settings.VM, caller, "-", i), v, tokens, false)
 					<-p.done
-					if p.answer["status"] == "200" {
+					if p.result["status"] == "200" {
 						count.Add(int64(tokens))
 					}
 				}
@@ -163,23 +165,23 @@
 		}
 	}
 	callers.Wait()
-	rate := w.document.Rates["yards"]
+	rate := c.document.Rates["yards"]
 	bound := rate.RateTokensPerSecond*time.Since(begin).Seconds() + rate.BurstTokens
-	w.checkBound(served, bound)
+	c.checkRateLimit(served, bound)
 }
 
-func (w *world) checkBound(served map[string]*atomic.Int64, bound float64) {
+func (c *testCluster) checkRateLimit(served map[string]*atomic.Int64, bound float64) {
 	var sum int64
 	var parts []string
 	for name, count := range served {
 		sum += count.Load()
 		parts = append(parts, fmt.Sprint(name, "=", count.Load()))
 	}
-	w.Logf("served %d tokens, bound %.0f: %s", sum, bound, strings.Join(parts, " "))
+	c.Logf("served %d tokens, limit %.0f; tokens by VM: %s", sum, bound, strings.Join(parts, " "))
 	if sum == 0 {
-		w.Fatalf("no call was served")
+		c.Fatalf("no call completed")
 	}
 	if float64(sum) > bound {
-		w.Fatalf("%d tokens were served, more than %.0f", sum, bound)
+		c.Fatalf("served %d tokens, want at most %.0f", sum, bound)
 	}
 }
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -8,56 +8,59 @@
 	"sync/atomic"
 )
 
-// place says where an address is.
-type place struct{ name, zone, region string }
+// site is the VM or target behind an address, with its zone and region.
+type site struct{ name, zone, region string }
 
-func (p place) in(group string) bool { return p.name == group || p.zone == group || p.region == group }
+func (s site) in(group string) bool { return s.name == group || s.zone == group || s.region == group }
 
-// network cuts VMs, zones and regions off from everything outside them.
+// network simulates partitions: it separates VMs, targets, zones or regions from
+// everything outside them.
 type network struct {
-	mu     sync.Mutex
-	places map[string]place
-	// cuts maps a VM, zone or region to whether it is cut silently.
+	mu    sync.Mutex
+	sites map[string]site
+	// cuts maps the partitioned VMs, targets, zones and regions to whether
+	// traffic is dropped silently.
 	cuts  map[string]bool
-	conns map[*link]struct{}
+	conns map[*trackedConn]struct{}
 }
 
 func newNetwork() *network {
-	return &network{places: make(map[string]place), cuts: make(map[string]bool), conns: make(map[*link]struct{})}
+	return &network{sites: make(map[string]site), cuts: make(map[string]bool), conns: make(map[*trackedConn]struct{})}
 }
 
-func (n *network) add(p place, addresses ...string) {
+func (n *network) add(s site, addresses ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range addresses {
-		n.places[a] = p
+		n.sites[a] = s
 	}
 }
 
-// state reports whether a cut separates two places, and whether silently.
-func (n *network) state(a, b place) (cut, silent bool) {
-	for group, quiet := range n.cuts {
+// cutBetween reports whether a partition separates two sites and whether it drops
+// traffic silently.
+func (n *network) cutBetween(a, b site) (cut, silent bool) {
+	for group, groupSilent := range n.cuts {
 		if a.in(group) != b.in(group) {
-			cut, silent = true, silent || quiet
+			cut, silent = true, silent || groupSilent
 		}
 	}
 	return cut, silent
 }
 
-// cut separates a group from the rest. Connections across the cut break, or
-// lose everything for good if the cut is silent.
+// cut partitions a group from the rest of the network. It closes the connections
+// across the partition or, with silent, blackholes them permanently.
 func (n *network) cut(group string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[group] = silent
-	for l := range n.conns {
-		if l.from.in(group) == l.to.in(group) {
+	for c := range n.conns {
+		if c.from.in(group) == c.to.in(group) {
 			continue
 		}
 		if silent {
-			l.dead.Store(true)
+			c.blackholed.Store(true)
 		} else {
-			_ = l.Conn.Close()
+			_ = c.Conn.Close()
 		}
 	}
 }
@@ -68,11 +71,11 @@
 	delete(n.cuts, group)
 }
 
-func (n *network) dialFrom(from place) func(context.Context, string, string) (net.Conn, error) {
-	return func(ctx context.Context, kind, address string) (net.Conn, error) {
+func (n *network) dialFrom(from site) func(context.Context, string, string) (net.Conn, error) {
+	return func(ctx context.Context, protocol, address string) (net.Conn, error) {
 		n.mu.Lock()
-		to := n.places[address]
-		cut, silent := n.state(from, to)
+		to := n.sites[address]
+		cut, silent := n.cutBetween(from, to)
 		n.mu.Unlock()
 		if silent {
 			<-ctx.Done()
@@ -81,77 +84,79 @@
 		if cut {
 			return nil, errors.New("network is unreachable")
 		}
-		conn, err := (&net.Dialer{}).DialContext(ctx, kind, address)
+		conn, err := (&net.Dialer{}).DialContext(ctx, protocol, address)
 		if err != nil {
 			return nil, err
 		}
-		return n.track(&link{Conn: conn, network: n, from: from, to: to})
+		return n.track(&trackedConn{Conn: conn, network: n, from: from, to: to})
 	}
 }
 
-// track looks again for a cut that came while the connection was dialled.
-func (n *network) track(l *link) (net.Conn, error) {
+// track registers a connection. It checks for partitions again, because one may
+// have started during the dial.
+func (n *network) track(c *trackedConn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if cut, silent := n.state(l.from, l.to); cut && !silent {
-		_ = l.Conn.Close()
+	if cut, silent := n.cutBetween(c.from, c.to); cut && !silent {
+		_ = c.Conn.Close()
 		return nil, errors.New("network is unreachable")
 	} else if silent {
-		l.dead.Store(true)
+		c.blackholed.Store(true)
 	}
-	n.conns[l] = struct{}{}
-	return l, nil
+	n.conns[c] = struct{}{}
+	return c, nil
 }
 
-// link is a connection between two places.
-type link struct {
+// trackedConn is a connection between two sites.
+type trackedConn struct {
 	net.Conn
 	network  *network
-	from, to place
-	// dead is set for good once the state of the connection is lost.
-	dead atomic.Bool
+	from, to site
+	// blackholed is set when a silent partition hits the connection and is never
+	// cleared: data is discarded even after the partition heals.
+	blackholed atomic.Bool
 }
 
-func (l *link) Read(p []byte) (int, error) {
+func (c *trackedConn) Read(p []byte) (int, error) {
 	for {
-		count, err := l.Conn.Read(p)
-		if err != nil || !l.dead.Load() {
+		count, err := c.Conn.Read(p)
+		if err != nil || !c.blackholed.Load() {
 			return count, err
 		}
 	}
 }
 
-func (l *link) Write(p []byte) (int, error) {
-	if l.dead.Load() {
+func (c *trackedConn) Write(p []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
-	return l.Conn.Write(p)
+	return c.Conn.Write(p)
 }
 
-func (l *link) Close() error {
-	l.network.mu.Lock()
-	delete(l.network.conns, l)
-	l.network.mu.Unlock()
-	return l.Conn.Close()
+func (c *trackedConn) Close() error {
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
+	return c.Conn.Close()
 }
 
-// packets drops what would cross a cut.
-type packets struct {
+// partitionedPacketConn drops outgoing packets that would cross a partition.
+type partitionedPacketConn struct {
 	net.PacketConn
 	network *network
-	from    place
+	from    site
 }
 
-func (n *network) listenPacketOf(from place) func(string) (net.PacketConn, error) {
+func (n *network) listenPacketFrom(from site) func(string) (net.PacketConn, error) {
 	return func(address string) (net.PacketConn, error) {
 		conn, err := net.ListenPacket("udp", address)
-		return packets{conn, n, from}, err
+		return partitionedPacketConn{conn, n, from}, err
 	}
 }
 
-func (p packets) WriteTo(data []byte, to net.Addr) (int, error) {
+func (p partitionedPacketConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	p.network.mu.Lock()
-	cut, _ := p.network.state(p.from, p.network.places[to.String()])
+	cut, _ := p.network.cutBetween(p.from, p.network.sites[to.String()])
 	p.network.mu.Unlock()
 	if cut {
 		return len(data), nil
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,5 +1,5 @@
-// Package scenario runs scripts of failures against real daemons on loopback.
-// Each script in testdata is named after the promise that it guards.
+// Package scenario runs failure scenarios against real daemons on the loopback
+// interface. Each script in testdata is named after the guarantee that it tests.
 package scenario
 
 import (
@@ -22,10 +22,11 @@
 
 const (
 	callerKey = "cw-test-key-of-the-yards-0123456789abcdef"
-	model     = "gutachter"
-	// patience bounds waits that succeed long before on a machine of any speed.
-	patience = 30 * time.Second
-	poll     = 20 * time.Millisecond
+	modelName = "gutachter"
+	// waitTimeout limits waits for a condition. It is far longer than any of
+	// them takes, even on a slow machine.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 func TestScenarios(t *testing.T) {
@@ -36,81 +37,81 @@
 	})
 }
 
-type worldKey struct{}
+type clusterKey struct{}
 
 func setup(env *testscript.Env) error {
-	w := &world{
-		folder: env.WorkDir, network: newNetwork(), vms: make(map[string]*vm),
+	c := &testCluster{
+		dataRoot: env.WorkDir, network: newNetwork(), vms: make(map[string]*vm),
 		engines: make(map[string]*standin.Engine), services: make(map[string]*standin.Service),
-		calls: make(map[string]*pending),
+		pendingCalls: make(map[string]*pendingCall),
 	}
-	env.Values[worldKey{}] = w
-	env.Defer(w.close)
+	env.Values[clusterKey{}] = c
+	env.Defer(c.close)
 	return nil
 }
 
-// world is what one script runs.
-type world struct {
-	// TestScript is the script that runs.
+// testCluster holds the VMs, targets, network and calls of one running script.
+type testCluster struct {
+	// TestScript is the running script.
 	*testscript.TestScript
-	folder  string
-	network *network
-	// document is the configuration in force while the log has none.
-	document config.Document
-	names    []string
-	vms      map[string]*vm
-	engines  map[string]*standin.Engine
-	services map[string]*standin.Service
-	calls    map[string]*pending
-	callers  sync.WaitGroup
-	edits    atomic.Int64
-	// oldLeader is the last VM that a script named as the leader.
-	oldLeader string
+	dataRoot string
+	network  *network
+	// document is the configuration that VMs use until the log contains one.
+	document     config.Document
+	names        []string
+	vms          map[string]*vm
+	engines      map[string]*standin.Engine
+	services     map[string]*standin.Service
+	pendingCalls map[string]*pendingCall
+	callers      sync.WaitGroup
+	editCount    atomic.Int64
+	// lastLeader is the VM that the name "leader" last resolved to.
+	lastLeader string
 }
 
 type vm struct {
 	settings settings.Settings
-	// node is nil while the VM is down.
+	// node is nil while the VM is stopped.
 	node *daemon.Node
 }
 
-func (w *world) close() {
-	for _, e := range w.engines {
+func (c *testCluster) close() {
+	for _, e := range c.engines {
 		e.Close()
 	}
-	for _, s := range w.services {
+	for _, s := range c.services {
 		s.Close()
 	}
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		if v.node != nil {
 			v.node.Close()
 		}
 	}
-	w.callers.Wait()
+	c.callers.Wait()
 }
 
-var regions = map[string]string{"muc-a": "oberbayern", "muc-b": "oberbayern", "nue-a": "franken"}
+var zoneRegions = map[string]string{"muc-a": "oberbayern", "muc-b": "oberbayern", "nue-a": "franken"}
 
 func baseDocument(slots map[string]int, rate config.Rate) config.Document {
 	d := config.Document{
-		Models:     map[string]config.Model{model: {ServingVersion: "v1"}},
+		Models:     map[string]config.Model{modelName: {ServingVersion: "v1"}},
 		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.Sum(callerKey).String()}}}},
 		Rates:      map[string]config.Rate{"yards": rate},
 		Routes: map[string]config.Route{
-			"grade":  {Kind: config.KindModel, Model: model, MaxAttempts: 6, FirstTokenTimeoutMS: 5000, TokenGapTimeoutMS: 3000, TimeoutMS: 60000},
+			"grade":  {Kind: config.KindModel, Model: modelName, MaxAttempts: 6, FirstTokenTimeoutMS: 5000, TokenGapTimeoutMS: 3000, TimeoutMS: 60000},
 			"orders": {Kind: config.KindService, Service: "orders", PathPrefix: "/orders", Run: config.RunAtMostOnce},
 		},
 		Zones: make(map[string]config.Zone),
 	}
 	for zone, count := range slots {
-		d.Zones[zone] = config.Zone{Region: regions[zone], VMSlots: count}
+		d.Zones[zone] = config.Zone{Region: zoneRegions[zone], VMSlots: count}
 	}
 	return d
 }
 
-// plan adds one VM. The VMs of slot 0 are the voters, in a zone each.
-func (w *world) plan(zone string, slot int) error {
-	s := settings.Settings{VM: fmt.Sprintf("%s-%d", zone, slot), Zone: zone, Region: regions[zone], Slot: slot}
+// addVM adds a VM without starting it. Slot 0 of each zone is a voter.
+func (c *testCluster) addVM(zone string, slot int) error {
+	s := settings.Settings{VM: fmt.Sprintf("%s-%d", zone, slot), Zone: zone, Region: zoneRegions[zone], Slot: slot}
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
 		address, err := loopback.Address()
 		if err != nil {
@@ -118,39 +119,40 @@
 		}
 		*a = address
 	}
-	w.network.add(place{s.VM, s.Zone, s.Region}, s.TargetAddress, s.PeerAddress, s.GossipAddress, s.AdminAddress)
-	w.names = append(w.names, s.VM)
-	w.vms[s.VM] = &vm{settings: s}
+	c.network.add(site{s.VM, s.Zone, s.Region}, s.TargetAddress, s.PeerAddress, s.GossipAddress, s.AdminAddress)
+	c.names = append(c.names, s.VM)
+	c.vms[s.VM] = &vm{settings: s}
 	return nil
 }
 
-// join tells every VM the voters and the addresses of all VMs.
-func (w *world) join() {
+// setVotersAndJoin configures each VM with the voters and the gossip addresses of
+// all VMs.
+func (c *testCluster) setVotersAndJoin() {
 	voters := make(map[string]string)
 	var addresses []string
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		addresses = append(addresses, v.settings.GossipAddress)
 		if v.settings.Slot == 0 {
 			voters[v.settings.VM] = v.settings.PeerAddress
-			v.settings.DataFolder = filepath.Join(w.folder, v.settings.VM)
+			v.settings.DataFolder = filepath.Join(c.dataRoot, v.settings.VM)
 		}
 	}
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		v.settings.Voters, v.settings.Join = voters, addresses
 	}
 }
 
-func (w *world) start(v *vm) error {
+func (c *testCluster) startVM(v *vm) error {
 	s := v.settings
-	at := place{s.VM, s.Zone, s.Region}
-	options := daemon.Options{Dial: w.network.dialFrom(at), ListenPacket: w.network.listenPacketOf(at), Document: &w.document}
+	local := site{s.VM, s.Zone, s.Region}
+	options := daemon.Options{Dial: c.network.dialFrom(local), ListenPacket: c.network.listenPacketFrom(local), Document: &c.document}
 	var err error
 	v.node, err = daemon.Start(s, options)
 	return err
 }
 
-func (w *world) announceTo(zone string) (urls []string) {
-	for _, v := range w.vms {
+func (c *testCluster) targetListenerURLs(zone string) (urls []string) {
+	for _, v := range c.vms {
 		if v.settings.Zone == zone {
 			urls = append(urls, "http://"+v.settings.TargetAddress)
 		}
