--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	root   = "../.."
-	module = "github.com/cuminwing/cuminwing/"
+	repoRoot     = "../.."
+	modulePrefix = "github.com/cuminwing/cuminwing/"
 )
 
-// outer lists the packages that do I/O or wire adapters together. Everything
-// else below internal is a domain package.
-var outer = []string{
+// outerPackages lists the packages that do I/O or wire adapters together. All
+// other packages below internal are domain packages.
+var outerPackages = []string{
 	"internal/adapter", "internal/cli", "internal/cmd", "internal/daemon", "internal/edge", "internal/forward",
 	"internal/loadgen", "internal/loopback",
 	"internal/scenario", "internal/settings", "internal/standin", "internal/arch",
 }
 
-// exceptions are files of domain packages that read a file for the operators'
-// tool.
-var exceptions = []string{"internal/config/file.go"}
+// exemptFiles lists files of domain packages that are exempt from the import
+// check because they read a file for the operators' tool.
+var exemptFiles = []string{"internal/config/file.go"}
 
-// forbidden lists what a domain package must not import, because its decisions
-// have to be functions of state, time and input.
-var forbidden = []string{"net", "os", "os/exec", "syscall", module + "internal/adapter", module + "internal/daemon"}
+// forbiddenImports lists the packages that a domain package must not import,
+// because its decisions must be functions of state, time and input only.
+var forbiddenImports = []string{"net", "os", "os/exec", "syscall", modulePrefix + "internal/adapter", modulePrefix + "internal/daemon"}
 
-func isOuter(path string) bool {
-	return slices.ContainsFunc(outer, func(o string) bool { return path == o || strings.HasPrefix(path, o+"/") })
+func isOuterPackage(path string) bool {
+	return slices.ContainsFunc(outerPackages, func(o string) bool { return path == o || strings.HasPrefix(path, o+"/") })
 }
 
-// Guards against decisions that come to depend on I/O.
+// Guards against domain packages whose decisions depend on I/O.
 func TestDomainPackagesImportNoAdapters(t *testing.T) {
 	checked := 0
-	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(repoRoot, "internal"), func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		name, err := filepath.Rel(root, path)
-		if err != nil || isOuter(filepath.ToSlash(filepath.Dir(name))) || slices.Contains(exceptions, filepath.ToSlash(name)) {
+		name, err := filepath.Rel(repoRoot, path)
+		if err != nil || isOuterPackage(filepath.ToSlash(filepath.Dir(name))) || slices.Contains(exemptFiles, filepath.ToSlash(name)) {
 			return err
 		}
 		checked++
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	if checked < 50 {
-		t.Fatalf("only %d files of domain packages were found", checked)
+		t.Fatalf("found only %d files of domain packages, want at least 50", checked)
 	}
 }
 
@@ -69,18 +69,18 @@
 	}
 	for _, spec := range file.Imports {
 		imported := strings.Trim(spec.Path.Value, `"`)
-		for _, f := range forbidden {
-			if imported == f || strings.HasPrefix(f, module) && strings.HasPrefix(imported, f+"/") {
-				t.Errorf("%s imports %s", path, imported)
+		for _, f := range forbiddenImports {
+			if imported == f || strings.HasPrefix(f, modulePrefix) && strings.HasPrefix(imported, f+"/") {
+				t.Errorf("domain package file %s imports %s", path, imported)
 			}
 		}
 	}
 }
 
-// Guards against product code that starts processes or uses what the platform
-// does not allow.
+// Guards against production code that starts processes or uses system interfaces
+// that the platform does not allow.
 func TestProductStartsNoProcess(t *testing.T) {
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repoRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -90,7 +90,7 @@
 		}
 		for _, word := range []string{`"os/exec"`, "os.StartProcess", "io_uring", "SYS_SHMGET", "shm_open", "net.LookupHost"} {
 			if strings.Contains(string(source), word) {
-				t.Errorf("%s contains %s", path, word)
+				t.Errorf("%s contains %s, which production code must not use", path, word)
 			}
 		}
 		return nil
@@ -100,12 +100,13 @@
 	}
 }
 
-// Guards against programs that are not linked to the C library of the system.
+// Guards against programs that are not dynamically linked to the system's C
+// library.
 func TestProgramsAreLinkedToTheCLibrary(t *testing.T) {
 	for _, program := range []string{"cuminwing", "cuminwingd", "cuminwing-node"} {
 		binary := filepath.Join(t.TempDir(), program)
 		build := exec.Command("go", "build", "-o", binary, "./cmd/"+program)
-		build.Dir = root
+		build.Dir = repoRoot
 		build.Env = append(os.Environ(), "CGO_ENABLED=1")
 		if out, err := build.CombinedOutput(); err != nil {
 			t.Fatalf("build %s: %v\n%s", program, err, out)
@@ -117,13 +118,13 @@
 		libraries, err := file.ImportedLibraries()
 		file.Close()
 		if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-			t.Errorf("%s is linked to %v, %v; want libc.so", program, libraries, err)
+			t.Errorf("%s is linked to %v (error %v), want libc.so", program, libraries, err)
 		}
 	}
 }
 
-// platformNames are names of the users' platform that the product has no use
-// for itself.
+// platformNames lists headers, settings and fields of the users' platform that
+// the product itself does not use.
 var platformNames = []string{
 	"Token-Usage", "Prompt-Prefix", "Response-Stamp", "Not-Executed", "Expect-Instance", "Cache-Salt", "Kv-Fetch",
 	"Weight-Versions", "Expect-Version", "Deadline-Ms", "Request-Priority", "CUMINWING_SETTINGS", "traffic_split",
@@ -131,12 +132,12 @@
 	"kv_capacity_tokens", "swap_mode", "version-put", "token_stream", "api_keys",
 }
 
-// Guards against names of the platform that spread into the product: they are
-// decoded once, in platform/.
+// Guards against product code that uses names of the platform. Only platform/
+// may decode them.
 func TestPlatformNamesStandInOneFolder(t *testing.T) {
 	found := 0
 	for _, folder := range []string{"internal", "cmd", "platform"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, d fs.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(repoRoot, folder), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "arch_test.go") {
 				return err
 			}
@@ -149,7 +150,7 @@
 					continue
 				}
 				if folder != "platform" {
-					t.Errorf("%s contains %s", path, name)
+					t.Errorf("%s contains the platform name %s, which belongs in platform/", path, name)
 				}
 				found++
 			}
@@ -160,14 +161,14 @@
 		}
 	}
 	if found < len(platformNames) {
-		t.Errorf("only %d places with names of the platform were found; the list is out of date", found)
+		t.Errorf("found only %d uses of platform names; platformNames is out of date", found)
 	}
 }
 
-// Guards against product code that depends on the platform: the dependency goes
-// the other way.
+// Guards against product code that imports package platform. The dependency must
+// point the other way.
 func TestProductDoesNotImportThePlatform(t *testing.T) {
-	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(repoRoot, "internal"), func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") {
 			return err
 		}
@@ -176,8 +177,8 @@
 			return err
 		}
 		for _, spec := range file.Imports {
-			if strings.Trim(spec.Path.Value, `"`) == module+"platform" {
-				t.Errorf("%s imports platform", path)
+			if strings.Trim(spec.Path.Value, `"`) == modulePrefix+"platform" {
+				t.Errorf("%s imports package platform", path)
 			}
 		}
 		return nil
--- a/internal/arch/doc.go
+++ b/internal/arch/doc.go
@@ -1,3 +1,3 @@
-// Package arch holds the tests that check the structure of the module: which
-// packages may import which, and how the programs are linked.
+// Package arch contains tests of the module's structure: the allowed imports,
+// the place of platform-specific names and the linking of the programs.
 package arch
