--- a/cmd/cuminwing-node/main.go
+++ b/cmd/cuminwing-node/main.go
@@ -85,6 +85,6 @@
 		})
 	}
 	return edge.RunCore(ctx, s, edge.CoreOptions{
-		Logger: logger, Decode: platform.DecodeDocument, Engines: platform.NewEngines(), Control: platform.ControlHandler,
+		Logger: logger, Decode: platform.DecodeDocument, Engines: platform.NewEngineClient(), Control: platform.ControlHandler,
 	})
 }
--- a/internal/adapter/callerhttp/aggregate.go
+++ b/internal/adapter/callerhttp/aggregate.go
@@ -29,7 +29,7 @@
 	topLevel      jsonObject
 	choices       []*partialChoice
 	usage         json.RawMessage
-	replayed      *serving.StoredAnswer
+	replayed      *serving.StoredResponse
 }
 
 // partialChoice is one choice of the response while it is being assembled.
@@ -229,23 +229,23 @@
 	return err
 }
 
-// Restart implements serving.Sink.
-func (s *aggregateSink) Restart() bool {
+// Reset implements serving.Sink.
+func (s *aggregateSink) Reset() bool {
 	*s = aggregateSink{call: s.call}
 	return true
 }
 
-// Stored implements serving.Sink.
-func (s *aggregateSink) Stored() serving.StoredAnswer {
+// StoredResponse implements serving.Sink.
+func (s *aggregateSink) StoredResponse() serving.StoredResponse {
 	body, err := s.assemble()
 	if err != nil {
-		return serving.StoredAnswer{Status: http.StatusBadGateway}
+		return serving.StoredResponse{Status: http.StatusBadGateway}
 	}
-	return serving.StoredAnswer{Status: http.StatusOK, ContentType: "application/json", Body: body}
+	return serving.StoredResponse{Status: http.StatusOK, ContentType: "application/json", Body: body}
 }
 
 // Replay implements serving.Sink.
-func (s *aggregateSink) Replay(stored serving.StoredAnswer) { s.replayed = &stored }
+func (s *aggregateSink) Replay(stored serving.StoredResponse) { s.replayed = &stored }
 
 func (s *aggregateSink) assemble() ([]byte, error) {
 	if s.topLevel == nil {
--- a/internal/adapter/callerhttp/answer.go
+++ b/internal/adapter/callerhttp/answer.go
@@ -105,7 +105,7 @@
 	s.buf = append(s.buf[:0], "data: "...)
 	s.buf = append(s.buf, c.Data...)
 	s.buf = append(s.buf, "\n\n"...)
-	if s.record && len(s.recorded) <= serving.MaxStoredAnswer {
+	if s.record && len(s.recorded) <= serving.MaxStoredResponseBytes {
 		s.recorded = append(s.recorded, s.buf...)
 	}
 	return s.write(s.buf)
@@ -156,23 +156,23 @@
 	s.heartbeatTimer.Stop()
 }
 
-// Restart implements serving.Sink.
-func (s *eventSink) Restart() bool {
+// Reset implements serving.Sink.
+func (s *eventSink) Reset() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.chunkSent
 }
 
-// Stored implements serving.Sink.
-func (s *eventSink) Stored() serving.StoredAnswer {
+// StoredResponse implements serving.Sink.
+func (s *eventSink) StoredResponse() serving.StoredResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	body := append(s.recorded[:len(s.recorded):len(s.recorded)], "data: [DONE]\n\n"...)
-	return serving.StoredAnswer{Status: http.StatusOK, ContentType: "text/event-stream", Body: body}
+	return serving.StoredResponse{Status: http.StatusOK, ContentType: "text/event-stream", Body: body}
 }
 
 // Replay implements serving.Sink.
-func (s *eventSink) Replay(stored serving.StoredAnswer) {
+func (s *eventSink) Replay(stored serving.StoredResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.headerWritten {
@@ -190,7 +190,7 @@
 	_ = s.write(append(append([]byte("data: "), data...), "\n\n"...))
 }
 
-func writeStoredResponse(w http.ResponseWriter, stored serving.StoredAnswer) {
+func writeStoredResponse(w http.ResponseWriter, stored serving.StoredResponse) {
 	for name, values := range serving.StoredHeader(stored) {
 		w.Header()[name] = values
 	}
--- a/internal/adapter/callerhttp/auth.go
+++ b/internal/adapter/callerhttp/auth.go
@@ -22,7 +22,7 @@
 	if key == "" {
 		return identity{}, newRefusal(http.StatusUnauthorized, "missing_key", "an Authorization header with a bearer key is required")
 	}
-	hash := keys.Sum(key)
+	hash := keys.HashKey(key)
 	owner, ok := snap.Owner(hash)
 	if !ok || !s.Keys.Usable(hash, snap.Document.Workspaces[owner.Workspace]) {
 		return identity{}, newRefusal(http.StatusUnauthorized, "invalid_key", "the key is not valid")
--- a/internal/adapter/callerhttp/scrub.go
+++ b/internal/adapter/callerhttp/scrub.go
@@ -54,7 +54,7 @@
 			if len(word) < minKeyBytes {
 				continue
 			}
-			if _, known := s.snap.Owner(keys.Sum(word)); known {
+			if _, known := s.snap.Owner(keys.HashKey(word)); known {
 				s.keys = append(s.keys, word)
 			}
 		}
@@ -199,8 +199,8 @@
 		return false
 	}
 	// The key may be followed by further key characters without a separator.
-	_, exact := s.snap.Owner(keys.Sum(string(word[:keys.Length])))
-	_, whole := s.snap.Owner(keys.Sum(string(word)))
+	_, exact := s.snap.Owner(keys.HashKey(string(word[:keys.Length])))
+	_, whole := s.snap.Owner(keys.HashKey(string(word)))
 	return exact || whole
 }
 
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// Active returns the number of requests in progress.
-func (s *Server) Active() int64 { return s.activeRequests.Load() }
+// ActiveRequests returns the number of requests in progress.
+func (s *Server) ActiveRequests() int64 { return s.activeRequests.Load() }
 
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if s.Ready() && s.Snapshot() != nil {
--- a/internal/adapter/disk/snapshot.go
+++ b/internal/adapter/disk/snapshot.go
@@ -50,9 +50,10 @@
 	return s.writeFileAtomic(s.snapshotPath(snapshot.Index), header, preamble, meta, snapshot.Data)
 }
 
-// Adopt makes a snapshot that WriteSnapshot has written the current one, unless
-// a newer snapshot has been received from the leader in the meantime.
-func (s *Store) Adopt(meta raft.SnapshotMeta) error {
+// ActivateSnapshot makes a snapshot that WriteSnapshot has written the current
+// one, unless a newer snapshot has been received from the leader in the
+// meantime.
+func (s *Store) ActivateSnapshot(meta raft.SnapshotMeta) error {
 	if s.writeErr != nil {
 		return ErrFailed
 	}
--- a/internal/adapter/disk/store.go
+++ b/internal/adapter/disk/store.go
@@ -91,7 +91,7 @@
 
 // Open reads the files in dir and returns the stored state and the data of the
 // newest snapshot. It creates dir if it does not exist.
-func Open(dir string, options Options) (*Store, raft.Stored, []byte, error) {
+func Open(dir string, options Options) (*Store, raft.PersistentState, []byte, error) {
 	s := &Store{dir: dir, open: options.Open, segmentBytes: options.SegmentBytes, nextRecord: 1}
 	if s.open == nil {
 		s.open = openFile
@@ -102,13 +102,13 @@
 	stored, data, err := s.load()
 	if err != nil {
 		_ = s.Close()
-		return nil, raft.Stored{}, nil, fmt.Errorf("open control log in %s: %w", dir, err)
+		return nil, raft.PersistentState{}, nil, fmt.Errorf("open control log in %s: %w", dir, err)
 	}
 	return s, stored, data, nil
 }
 
-func (s *Store) load() (raft.Stored, []byte, error) {
-	var stored raft.Stored
+func (s *Store) load() (raft.PersistentState, []byte, error) {
+	var stored raft.PersistentState
 	if err := s.prepareDir(); err != nil {
 		return stored, nil, err
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return stored, nil, err
 	}
-	stored = raft.Stored{HardState: s.hardState, Snapshot: meta, Entries: kept, New: isNew}
+	stored = raft.PersistentState{HardState: s.hardState, Snapshot: meta, Entries: kept, Bootstrapping: isNew}
 	// The discarded entries must not be loaded again at the next start.
 	reset := len(entries) > 0 && len(kept) == 0
 	return stored, data, s.startSegment(reset)
@@ -241,7 +241,7 @@
 			return err
 		}
 	}
-	if err := s.writeRecord(record{hardState: r.HardState, reset: r.Snapshot != nil, entries: r.Entries}); err != nil || !r.Formed {
+	if err := s.writeRecord(record{hardState: r.HardState, reset: r.Snapshot != nil, entries: r.Entries}); err != nil || !r.Bootstrapped {
 		return err
 	}
 	return s.removeNewMarker()
--- a/internal/adapter/disk/store_test.go
+++ b/internal/adapter/disk/store_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-func openStore(t *testing.T, dir string, options Options) (*Store, raft.Stored, []byte) {
+func openStore(t *testing.T, dir string, options Options) (*Store, raft.PersistentState, []byte) {
 	t.Helper()
 	s, stored, data, err := Open(dir, options)
 	if err != nil {
@@ -335,7 +335,7 @@
 		t.Fatal(err)
 	}
 	_, stored, data := openStore(t, dir, Options{})
-	want := raft.Stored{
+	want := raft.PersistentState{
 		HardState: raft.HardState{Term: 3, Vote: "vm-1"},
 		Snapshot:  snapshotAt(2, 2).SnapshotMeta,
 		Entries:   entries(3, 3, 6),
--- a/internal/adapter/gossip/codec.go
+++ b/internal/adapter/gossip/codec.go
@@ -74,7 +74,7 @@
 		Sequence:    m.Sequence,
 		Subject:     m.Subject,
 		Zones:       m.Zones,
-		PullBack:    m.PullBack,
+		PullBack:    m.SyncBack,
 	}
 	for i := range m.Updates {
 		p.Updates = append(p.Updates, updateToProto(&m.Updates[i]))
@@ -82,7 +82,7 @@
 	for i := range m.Targets {
 		p.Targets = append(p.Targets, targetToProto(&m.Targets[i]))
 	}
-	for _, b := range m.Beats {
+	for _, b := range m.Heartbeats {
 		p.Beats = append(p.Beats, &gossipv1.Beat{Key: b.Key, Sequence: b.Sequence, AgeMs: toMS(b.Age), Load: loadToProto(b.Load)})
 	}
 	for i := range m.Digests {
@@ -103,7 +103,7 @@
 		Sequence:    p.Sequence,
 		Subject:     p.Subject,
 		Zones:       p.Zones,
-		PullBack:    p.PullBack,
+		SyncBack:    p.PullBack,
 	}
 	for _, u := range p.Updates {
 		m.Updates = append(m.Updates, updateFromProto(u))
@@ -112,8 +112,8 @@
 		m.Targets = append(m.Targets, targetFromProto(t))
 	}
 	for _, b := range p.Beats {
-		beat := target.Beat{Key: b.Key, Sequence: b.Sequence, Load: loadFromProto(b.Load)}
-		m.Beats = append(m.Beats, membership.BeatUpdate{Beat: beat, Age: fromMS(b.AgeMs)})
+		beat := target.Heartbeat{Key: b.Key, Sequence: b.Sequence, Load: loadFromProto(b.Load)}
+		m.Heartbeats = append(m.Heartbeats, membership.HeartbeatUpdate{Heartbeat: beat, Age: fromMS(b.AgeMs)})
 	}
 	for _, d := range p.Digests {
 		m.Digests = append(m.Digests, digestFromProto(d))
--- a/internal/adapter/gossip/conn.go
+++ b/internal/adapter/gossip/conn.go
@@ -75,7 +75,7 @@
 func (c *Conn) Announce(a target.Announcement, change target.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.core.Announce(a, change, c.clock())
+	c.core.BroadcastTarget(a, change, c.clock())
 }
 
 // Leave notifies other VMs that this VM is leaving. Run must keep running for a
--- a/internal/adapter/gossip/convert.go
+++ b/internal/adapter/gossip/convert.go
@@ -52,7 +52,7 @@
 		Zone:        d.Zone,
 		Vm:          d.VM,
 		Incarnation: d.Incarnation,
-		Number:      d.Number,
+		Number:      d.Sequence,
 		AgeMs:       toMS(d.Targets.Age),
 		MembersHash: d.MembersHash,
 		TargetsHash: d.Targets.Hash,
@@ -65,7 +65,7 @@
 		Zone:        p.Zone,
 		VM:          p.Vm,
 		Incarnation: p.Incarnation,
-		Number:      p.Number,
+		Sequence:    p.Number,
 		MembersHash: p.MembersHash,
 		Targets:     target.Summary{Hash: p.TargetsHash, Live: p.Live, Age: fromMS(p.AgeMs)},
 	}
--- a/internal/adapter/peertls/peertls.go
+++ b/internal/adapter/peertls/peertls.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// Dial wraps dial. The returned function opens a connection with dial and
+// WrapDial wraps dial. The returned function opens a connection with dial and
 // performs the TLS handshake with the peer.
-func (s *Source) Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *Source) WrapDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := dial(ctx, network, address)
 		if err != nil {
--- a/internal/adapter/peertls/peertls_test.go
+++ b/internal/adapter/peertls/peertls_test.go
@@ -62,7 +62,7 @@
 }
 
 func get(s *Source, base string) error {
-	client := &http.Client{Transport: &http.Transport{DialTLSContext: s.Dial((&net.Dialer{}).DialContext), DisableKeepAlives: true}}
+	client := &http.Client{Transport: &http.Transport{DialTLSContext: s.WrapDial((&net.Dialer{}).DialContext), DisableKeepAlives: true}}
 	resp, err := client.Get(base)
 	if err != nil {
 		return err
--- a/internal/adapter/replica/calls.go
+++ b/internal/adapter/replica/calls.go
@@ -50,7 +50,7 @@
 // Propose commits a command if this replica leads. Every error wraps
 // ErrNotLeader, control.ErrNotCommitted or control.ErrUncertain.
 func (r *Replica) Propose(ctx context.Context, kind control.Kind, body []byte) ([]byte, error) {
-	if _, ok := r.config.Parts[kind]; !ok {
+	if _, ok := r.config.StateMachines[kind]; !ok {
 		return nil, fmt.Errorf("%w: unknown command kind %d", control.ErrNotCommitted, kind)
 	}
 	return r.submit(ctx, &proposal{kind: kind, body: body, done: make(chan proposalResult, 1)})
--- a/internal/adapter/replica/cluster_test.go
+++ b/internal/adapter/replica/cluster_test.go
@@ -139,9 +139,9 @@
 	}
 	r, err := Open(Config{
 		ID: v.name, Folder: v.folder, Bootstrap: bootstrap, Disk: disk.Options{Open: v.open},
-		Parts:     map[control.Kind]control.Part{control.KindClaims: v.state},
-		Transport: &Peers{Self: v.address, URL: url, Client: c.client, Start: start},
-		Clock:     time.Now,
+		StateMachines: map[control.Kind]control.StateMachine{control.KindClaims: v.state},
+		Transport:     &TwirpTransport{Self: v.address, URL: url, Client: c.client, Go: start},
+		Clock:         time.Now,
 	})
 	if err != nil {
 		c.tb.Fatal(err)
--- a/internal/adapter/replica/codec.go
+++ b/internal/adapter/replica/codec.go
@@ -11,8 +11,8 @@
 	out := &raftv1.Message{
 		Kind: uint32(m.Kind), From: m.From, To: m.To, Term: m.Term,
 		Index: m.Index, LogTerm: m.LogTerm, Commit: m.Commit,
-		Reject: m.Reject, Hint: m.Hint, Sent: int64(m.Sent), Round: m.Round,
-		Formed: m.Formed, Transfer: m.Transfer, Offset: m.Offset, Data: m.Data,
+		Reject: m.Reject, Hint: m.RejectHint, Sent: int64(m.SentAt), Round: m.ReadRound,
+		Formed: m.Bootstrapped, Transfer: m.Transfer, Offset: m.Offset, Data: m.Data,
 	}
 	for _, e := range m.Entries {
 		out.Entries = append(out.Entries, &raftv1.Entry{
@@ -32,8 +32,8 @@
 	out := raft.Message{
 		Kind: raft.MessageKind(m.GetKind()), From: m.GetFrom(), To: m.GetTo(), Term: m.GetTerm(),
 		Index: m.GetIndex(), LogTerm: m.GetLogTerm(), Commit: m.GetCommit(),
-		Reject: m.GetReject(), Hint: m.GetHint(), Sent: time.Duration(m.GetSent()), Round: m.GetRound(),
-		Formed: m.GetFormed(), Transfer: m.GetTransfer(), Offset: m.GetOffset(), Data: m.GetData(),
+		Reject: m.GetReject(), RejectHint: m.GetHint(), SentAt: time.Duration(m.GetSent()), ReadRound: m.GetRound(),
+		Bootstrapped: m.GetFormed(), Transfer: m.GetTransfer(), Offset: m.GetOffset(), Data: m.GetData(),
 	}
 	for _, e := range m.GetEntries() {
 		out.Entries = append(out.Entries, raft.Entry{
--- a/internal/adapter/replica/forwarder.go
+++ b/internal/adapter/replica/forwarder.go
@@ -8,21 +8,21 @@
 	raftv1 "github.com/cuminwing/cuminwing/proto/raft/v1"
 )
 
-// Forwarder serves the control log calls of operator tools on any VM, and
+// ForwardingServer serves the control log calls of operator tools on any VM, and
 // forwards them to the leader where necessary.
-type Forwarder struct {
+type ForwardingServer struct {
 	Log *Log
 	VM  string
 }
 
 // Propose implements raftv1.LogService. It always fails: operator tools use typed
 // calls instead.
-func (f Forwarder) Propose(context.Context, *raftv1.ProposeRequest) (*raftv1.ProposeResponse, error) {
+func (f ForwardingServer) Propose(context.Context, *raftv1.ProposeRequest) (*raftv1.ProposeResponse, error) {
 	return nil, twirp.NewError(twirp.Unimplemented, "only VMs can propose commands to the control log")
 }
 
 // Barrier implements raftv1.LogService.
-func (f Forwarder) Barrier(ctx context.Context, _ *raftv1.BarrierRequest) (*raftv1.BarrierResponse, error) {
+func (f ForwardingServer) Barrier(ctx context.Context, _ *raftv1.BarrierRequest) (*raftv1.BarrierResponse, error) {
 	index, err := f.Log.Barrier(ctx)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
@@ -32,7 +32,7 @@
 
 // GetStatus implements raftv1.LogService. It returns the status as this VM knows
 // it, without a call to the leader.
-func (f Forwarder) GetStatus(ctx context.Context, request *raftv1.GetStatusRequest) (*raftv1.GetStatusResponse, error) {
+func (f ForwardingServer) GetStatus(ctx context.Context, request *raftv1.GetStatusRequest) (*raftv1.GetStatusResponse, error) {
 	if f.Log.Replica != nil {
 		return Server{f.Log.Replica}.GetStatus(ctx, request)
 	}
@@ -41,7 +41,7 @@
 }
 
 // ChangeMembers implements raftv1.LogService.
-func (f Forwarder) ChangeMembers(ctx context.Context, request *raftv1.ChangeMembersRequest) (*raftv1.ChangeMembersResponse, error) {
+func (f ForwardingServer) ChangeMembers(ctx context.Context, request *raftv1.ChangeMembersRequest) (*raftv1.ChangeMembersResponse, error) {
 	if err := validateChange(request); err != nil {
 		return nil, err
 	}
--- a/internal/adapter/replica/replica.go
+++ b/internal/adapter/replica/replica.go
@@ -69,14 +69,15 @@
 	Disk   disk.Options
 	// Bootstrap is the initial voter set. It is used only while the folder is
 	// empty. It must be empty for a VM that will be added as a learner.
-	Bootstrap raft.Membership
-	Parts     map[control.Kind]control.Part
-	Transport Transport
+	Bootstrap     raft.Membership
+	StateMachines map[control.Kind]control.StateMachine
+	Transport     Transport
 	// Clock returns the wall-clock time for the timestamps of commands.
 	Clock func() time.Time
-	// Steady is the clock for elections and leases. If it is nil, the replica
-	// uses Go's monotonic clock, which stops while the machine is suspended.
-	Steady func() time.Duration
+	// ElectionClock is the clock for elections and leases. If it is nil, the
+	// replica uses Go's monotonic clock, which stops while the machine is
+	// suspended.
+	ElectionClock func() time.Duration
 	// OnChange is called when the role, the leader or the failure changes. It
 	// must not block. It may be nil.
 	OnChange func(Status)
@@ -101,7 +102,7 @@
 	config  Config
 	node    *raft.Node
 	store   *disk.Store
-	machine *control.Machine
+	machine *control.CompositeStateMachine
 	started time.Time
 	tasks   chan func()
 	stopped chan struct{}
@@ -125,7 +126,7 @@
 	snapshotDone    chan snapshotResult
 	background      sync.WaitGroup
 
-	// leaseEnd is the electionTime at which the leader lease expires, or 0
+	// leaseEnd is the electionClock time at which the leader lease expires, or 0
 	// without a lease.
 	leaseEnd atomic.Int64
 	mu       sync.Mutex
@@ -141,7 +142,7 @@
 	r := &Replica{
 		config:           config,
 		store:            store,
-		machine:          control.NewMachine(config.Parts),
+		machine:          control.NewCompositeStateMachine(config.StateMachines),
 		started:          time.Now(),
 		tasks:            make(chan func(), taskQueueCapacity),
 		stopped:          make(chan struct{}),
@@ -157,7 +158,7 @@
 		ID:                config.ID,
 		ElectionTimeout:   ElectionTimeout,
 		HeartbeatInterval: heartbeatInterval,
-		Clock:             r.electionTime,
+		Clock:             r.electionClock,
 		Rand:              rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		MaxAppendBytes:    maxAppendBytes,
 		MaxInflight:       maxInflight,
@@ -167,7 +168,7 @@
 	return r, nil
 }
 
-func (r *Replica) restore(stored *raft.Stored, data []byte) error {
+func (r *Replica) restore(stored *raft.PersistentState, data []byte) error {
 	if len(data) > 0 {
 		if err := r.machine.Restore(data); err != nil {
 			return fmt.Errorf("restore state machine from the stored snapshot: %w", err)
@@ -186,10 +187,10 @@
 	return nil
 }
 
-// electionTime returns the current time of the clock for elections and leases.
-func (r *Replica) electionTime() time.Duration {
-	if r.config.Steady != nil {
-		return r.config.Steady()
+// electionClock returns the current time of the clock for elections and leases.
+func (r *Replica) electionClock() time.Duration {
+	if r.config.ElectionClock != nil {
+		return r.config.ElectionClock()
 	}
 	return time.Since(r.started)
 }
@@ -269,7 +270,7 @@
 func (r *Replica) send(messages []raft.Message, afterSync bool) {
 	batches := make(map[string][]raft.Message)
 	for _, m := range messages {
-		if m.Promise() != afterSync {
+		if m.NeedsSync() != afterSync {
 			continue
 		}
 		if m.Kind == raft.MsgSnapshot && !r.loadSnapshotChunk(&m) {
@@ -371,7 +372,7 @@
 	if w.err != nil {
 		return w.err
 	}
-	if err := r.store.Adopt(w.meta); err != nil {
+	if err := r.store.ActivateSnapshot(w.meta); err != nil {
 		return err
 	}
 	if w.meta.Index > r.snapshot.Index {
@@ -394,7 +395,7 @@
 }
 
 func (r *Replica) publishLease() {
-	until, ok := r.node.LeaseUntil()
+	until, ok := r.node.LeaseExpiry()
 	if !ok {
 		until = 0
 	}
@@ -427,7 +428,7 @@
 // HoldsLease reports whether this replica leads and its lease guarantees that no
 // other replica leads now.
 func (r *Replica) HoldsLease() bool {
-	return int64(r.electionTime()) < r.leaseEnd.Load()
+	return int64(r.electionClock()) < r.leaseEnd.Load()
 }
 
 // enqueue queues f to run on the goroutine of Run. It reports false if the queue
--- a/internal/adapter/replica/server.go
+++ b/internal/adapter/replica/server.go
@@ -50,7 +50,7 @@
 	response := &raftv1.GetStatusResponse{
 		Vm: status.ID, Replica: true, Role: status.Role.String(), Term: status.Term, Leader: status.Leader,
 		Commit: status.Commit, Applied: status.Applied, First: status.First, Last: status.Last,
-		HoldsLease: s.Replica.HoldsLease(), New: status.New,
+		HoldsLease: s.Replica.HoldsLease(), New: status.Bootstrapping,
 	}
 	if status.Failure != nil {
 		response.Failure = status.Failure.Error()
--- a/internal/adapter/replica/transport.go
+++ b/internal/adapter/replica/transport.go
@@ -26,17 +26,17 @@
 	sendRetryDelay = 50 * time.Millisecond
 )
 
-// Peers implements Transport over Twirp. For each replica it has one goroutine,
-// which sends one request at a time.
-type Peers struct {
+// TwirpTransport implements Transport over Twirp. For each replica it has one
+// goroutine, which sends one request at a time.
+type TwirpTransport struct {
 	// Self is the address at which other replicas reach this VM.
 	Self string
 	// URL returns the base URL for an address.
 	URL func(address string) string
 	// Client sends the requests.
 	Client *http.Client
-	// Start starts a goroutine whose context is cancelled when the VM stops.
-	Start func(func(context.Context))
+	// Go starts a goroutine whose context is cancelled when the VM stops.
+	Go func(func(context.Context))
 
 	mu     sync.Mutex
 	queues map[string]*ring.Ring[raft.Message]
@@ -44,14 +44,14 @@
 
 // Send implements Transport. Messages that do not fit in the queue are dropped;
 // package raft sends them again.
-func (p *Peers) Send(address string, messages []raft.Message) {
+func (p *TwirpTransport) Send(address string, messages []raft.Message) {
 	queue := p.queueFor(address)
 	for _, m := range messages {
 		queue.Push(m)
 	}
 }
 
-func (p *Peers) queueFor(address string) *ring.Ring[raft.Message] {
+func (p *TwirpTransport) queueFor(address string) *ring.Ring[raft.Message] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if queue, ok := p.queues[address]; ok {
@@ -63,11 +63,11 @@
 	queue := ring.New[raft.Message](sendQueueCapacity)
 	p.queues[address] = queue
 	client := raftv1.NewRaftServiceProtobufClient(p.URL(address), p.Client)
-	p.Start(func(ctx context.Context) { p.sendLoop(ctx, client, queue) })
+	p.Go(func(ctx context.Context) { p.sendLoop(ctx, client, queue) })
 	return queue
 }
 
-func (p *Peers) sendLoop(ctx context.Context, client raftv1.RaftService, queue *ring.Ring[raft.Message]) {
+func (p *TwirpTransport) sendLoop(ctx context.Context, client raftv1.RaftService, queue *ring.Ring[raft.Message]) {
 	for {
 		first, ok := queue.Pop(ctx)
 		if !ok {
@@ -85,7 +85,7 @@
 
 // collectBatch returns a request with m and further queued messages, up to
 // maxBatchMessages messages or about maxBatchBytes of payload.
-func (p *Peers) collectBatch(m raft.Message, queue *ring.Ring[raft.Message]) *raftv1.StepRequest {
+func (p *TwirpTransport) collectBatch(m raft.Message, queue *ring.Ring[raft.Message]) *raftv1.StepRequest {
 	request := &raftv1.StepRequest{FromAddress: p.Self}
 	size := 0
 	for {
--- a/internal/adapter/targetconn/pool.go
+++ b/internal/adapter/targetconn/pool.go
@@ -34,8 +34,8 @@
 	// idleTimeoutMargin is subtracted from the Keep-Alive timeout of a target,
 	// so that no request is sent while the target closes the connection.
 	idleTimeoutMargin = 700 * time.Millisecond
-	// maxIdlePerTarget limits the idle connections to one target. SetLimits can
-	// only lower this limit.
+	// maxIdlePerTarget limits the idle connections to one target. SetIdleLimits
+	// can only lower this limit.
 	maxIdlePerTarget = 24
 	// readBufferBytes is large enough for a response header or several stream
 	// events.
@@ -141,8 +141,8 @@
 	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(conn, readBufferBytes), address: address}, nil
 }
 
-// Try opens a connection and adds it to the pool for the next request.
-func (p *Pool) Try(ctx context.Context, address string) error {
+// Probe opens a connection and adds it to the pool for the next request.
+func (p *Pool) Probe(ctx context.Context, address string) error {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return err
@@ -196,10 +196,10 @@
 	return defaultIdleTimeout
 }
 
-// SetLimits sets the maximum number of idle connections by address. A target
+// SetIdleLimits sets the maximum number of idle connections by address. A target
 // accepts a limited number of connections from all VMs together and resets
 // those beyond it.
-func (p *Pool) SetLimits(limits map[string]int) {
+func (p *Pool) SetIdleLimits(limits map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleLimits = limits
@@ -232,8 +232,8 @@
 	}
 }
 
-// Opened returns the number of connections opened so far.
-func (p *Pool) Opened() int64 {
+// OpenedConnections returns the number of connections opened so far.
+func (p *Pool) OpenedConnections() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
--- a/internal/adapter/targetconn/pool_test.go
+++ b/internal/adapter/targetconn/pool_test.go
@@ -38,7 +38,7 @@
 func TestIdleConnectionsStayWithinTheLimit(t *testing.T) {
 	address := listen(t, func(net.Conn) {})
 	p := New()
-	p.SetLimits(map[string]int{address: 2})
+	p.SetIdleLimits(map[string]int{address: 2})
 	var conns []*Conn
 	for range 5 {
 		conns = append(conns, get(t, p, address))
--- a/internal/adapter/targethttp/cache.go
+++ b/internal/adapter/targethttp/cache.go
@@ -48,48 +48,48 @@
 // CacheEvents is the response to GET /v1/cache/events?after=N. If N is 0, or
 // the target no longer has the events after N, the response is a snapshot: its
 // events are the complete cache content, and the events that follow have
-// sequence numbers above Through, which is at least 1. Otherwise the target
-// waits up to CacheWait for events (long polling).
+// sequence numbers above LastSequence, which is at least 1. Otherwise the target
+// waits up to MaxEventsWait for events (long polling).
 type CacheEvents struct {
 	// Incarnation identifies the start of the target to which the events
 	// belong.
 	Incarnation uint64 `json:"incarnation"`
 	// Snapshot is true if the events are the complete cache content.
 	Snapshot bool `json:"snapshot,omitempty"`
-	// Through is the last sequence number that the response covers.
-	Through uint64 `json:"through"`
+	// LastSequence is the last sequence number that the response covers.
+	LastSequence uint64 `json:"through"`
 	// Events are in sequence order.
 	Events []prefix.Event `json:"events"`
 }
 
-// CacheWait is the maximum time that a target may delay a response when it has
-// no events.
-const CacheWait = time.Second
+// MaxEventsWait is the maximum time that a target may delay a response when it
+// has no events.
+const MaxEventsWait = time.Second
 
 const (
 	cacheTimeout          = 3 * time.Second
 	maxCacheResponseBytes = 64 << 20
 )
 
-// CacheReader requests cache events, load reports and KV imports from targets.
-type CacheReader struct{ client *http.Client }
+// CacheClient requests cache events, load reports and KV imports from targets.
+type CacheClient struct{ client *http.Client }
 
-// NewCacheReader returns a CacheReader that opens connections with dial.
-func NewCacheReader(dial Dialer) *CacheReader {
+// NewCacheClient returns a CacheClient that opens connections with dial.
+func NewCacheClient(dial Dialer) *CacheClient {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: idleConnTimeout}
-	return &CacheReader{client: &http.Client{Transport: transport, Timeout: cacheTimeout}}
+	return &CacheClient{client: &http.Client{Transport: transport, Timeout: cacheTimeout}}
 }
 
 // Events returns the cache events of the target at base after a sequence
 // number.
-func (c *CacheReader) Events(ctx context.Context, base string, after uint64) (CacheEvents, error) {
+func (c *CacheClient) Events(ctx context.Context, base string, after uint64) (CacheEvents, error) {
 	var events CacheEvents
 	err := c.get(ctx, base+CacheEventsPath+"?after="+strconv.FormatUint(after, 10), &events)
 	return events, err
 }
 
 // Load returns the load reported by the target at base.
-func (c *CacheReader) Load(ctx context.Context, base string) (target.Load, error) {
+func (c *CacheClient) Load(ctx context.Context, base string) (target.Load, error) {
 	var load target.Load
 	err := c.get(ctx, base+LoadPath, &load)
 	return load, err
@@ -109,7 +109,7 @@
 }
 
 // Import asks the target at base to import blocks from source.
-func (c *CacheReader) Import(ctx context.Context, base, source string, scope prefix.ScopeDigest, blocks []prefix.Hash) error {
+func (c *CacheClient) Import(ctx context.Context, base, source string, scope prefix.ScopeDigest, blocks []prefix.Hash) error {
 	body, err := json.Marshal(KVTransfer{Scope: hex.EncodeToString(scope[:]), Blocks: blocks, Source: source})
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (c *CacheReader) get(ctx context.Context, url string, out any) error {
+func (c *CacheClient) get(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
--- a/internal/adapter/targethttp/contract_test.go
+++ b/internal/adapter/targethttp/contract_test.go
@@ -56,7 +56,7 @@
 
 // Guards against failures of a target that are mistaken for a response or for
 // another kind of failure, or are detected only after the timeout. This is the
-// contract of serving.Engines.
+// contract of serving.EngineClient.
 func TestEnginesContract(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -90,7 +90,7 @@
 				if c.name == "silent" || strings.HasPrefix(c.name, "stall") {
 					timeout = 300 * time.Millisecond
 				}
-				chunks, err := countChunks(NewEngines(nil), dest, timeout)
+				chunks, err := countChunks(NewEngineClient(nil), dest, timeout)
 				if chunks != c.chunks || !c.check(err) {
 					t.Errorf("got %d chunks and error %v", chunks, err)
 				}
@@ -99,7 +99,7 @@
 	}
 }
 
-func countChunks(e *Engines, dest *target.Target, timeout time.Duration) (int, error) {
+func countChunks(e *EngineClient, dest *target.Target, timeout time.Duration) (int, error) {
 	s, err := e.Open(context.Background(), dest, serving.EngineRequest{Call: testCall(timeout)})
 	if err != nil {
 		return 0, err
@@ -128,18 +128,18 @@
 	for _, http2 := range []bool{false, true} {
 		dest := &target.Target{Announcement: target.Announcement{URL: "http://" + l.Addr().String(), Capabilities: target.Capabilities{HTTP2: http2}}}
 		var dial *serving.DialError
-		if _, err := countChunks(NewEngines(nil), dest, time.Second); !errors.As(err, &dial) {
+		if _, err := countChunks(NewEngineClient(nil), dest, time.Second); !errors.As(err, &dial) {
 			t.Errorf("refused connection to engine, http2=%t: got %v, want a DialError", http2, err)
 		}
 		req := serving.ServiceRequest{Method: "POST", URI: "/", Header: http.Header{}, Body: func() io.Reader { return strings.NewReader("x") }, ContentLength: 1}
-		if _, err := NewServices(nil).Do(t.Context(), dest, testCall(time.Second), req); !errors.As(err, &dial) {
+		if _, err := NewServiceClient(nil).Do(t.Context(), dest, testCall(time.Second), req); !errors.As(err, &dial) {
 			t.Errorf("refused connection to service, http2=%t: got %v, want a DialError", http2, err)
 		}
 	}
 }
 
 // Guards against calls that the HTTP library retries on its own. This is part
-// of the contract of serving.Services.
+// of the contract of serving.ServiceClient.
 func TestServicesSendOnce(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		var calls atomic.Int32
@@ -148,7 +148,7 @@
 			calls.Add(1)
 			panic(http.ErrAbortHandler)
 		})
-		services := NewServices(nil)
+		services := NewServiceClient(nil)
 		for _, method := range []string{"GET", "POST", "PUT"} {
 			calls.Store(0)
 			header := http.Header{"Idempotency-Key": {"k"}}
--- a/internal/adapter/targethttp/engine.go
+++ b/internal/adapter/targethttp/engine.go
@@ -41,19 +41,19 @@
 	maxCancels    = 256
 )
 
-// Engines dispatches requests to engines over HTTP.
-type Engines struct {
+// EngineClient dispatches requests to engines over HTTP.
+type EngineClient struct {
 	transports  *transportPool
 	cancelSlots chan struct{}
 }
 
-// NewEngines returns an Engines that opens connections with dial.
-func NewEngines(dial Dialer) *Engines {
-	return &Engines{transports: newTransportPool(dial), cancelSlots: make(chan struct{}, maxCancels)}
+// NewEngineClient returns an EngineClient that opens connections with dial.
+func NewEngineClient(dial Dialer) *EngineClient {
+	return &EngineClient{transports: newTransportPool(dial), cancelSlots: make(chan struct{}, maxCancels)}
 }
 
-// Open implements serving.Engines.
-func (e *Engines) Open(ctx context.Context, t *target.Target, req serving.EngineRequest) (serving.ChunkStream, error) {
+// Open implements serving.EngineClient.
+func (e *EngineClient) Open(ctx context.Context, t *target.Target, req serving.EngineRequest) (serving.ChunkStream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	httpReq, err := newEngineRequest(ctx, t, req)
 	if err != nil {
@@ -77,7 +77,7 @@
 // abort tells the engine to cancel the request. After a stall, it sends the
 // message over a new connection, because the first one may have failed
 // silently.
-func (e *Engines) abort(t *target.Target, rt *http.Transport, req serving.EngineRequest, cause error) {
+func (e *EngineClient) abort(t *target.Target, rt *http.Transport, req serving.EngineRequest, cause error) {
 	switch cause.(type) {
 	case *serving.DialError, *serving.StatusError:
 		return
@@ -96,7 +96,7 @@
 	}()
 }
 
-func (e *Engines) sendCancel(t *target.Target, req serving.EngineRequest) {
+func (e *EngineClient) sendCancel(t *target.Target, req serving.EngineRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	url := t.URL + "/v1/requests/" + req.Call.ID + "/cancel?attempt=" + strconv.Itoa(req.Attempt)
--- a/internal/adapter/targethttp/orders.go
+++ b/internal/adapter/targethttp/orders.go
@@ -20,15 +20,15 @@
 // receives an order ID again takes no action and repeats its first response.
 type Order struct {
 	OrderID string `json:"order_id"`
-	// Fence is the fencing token. Targets that check fencing tokens reject an
-	// order with status 409 if its token is lower than the highest one they
-	// have seen.
-	Fence    uint64   `json:"fence"`
-	Kind     string   `json:"kind"`
-	Model    string   `json:"model"`
-	Version  string   `json:"version"`
-	Adapters []string `json:"adapters,omitempty"`
-	Role     string   `json:"role,omitempty"`
+	// FencingToken is the fencing token. Targets that check fencing tokens
+	// reject an order with status 409 if its token is lower than the highest
+	// one they have seen.
+	FencingToken uint64   `json:"fence"`
+	Kind         string   `json:"kind"`
+	Model        string   `json:"model"`
+	Version      string   `json:"version"`
+	Adapters     []string `json:"adapters,omitempty"`
+	Role         string   `json:"role,omitempty"`
 }
 
 // ErrFenced means that the target has seen a higher fencing token.
--- a/internal/adapter/targethttp/service.go
+++ b/internal/adapter/targethttp/service.go
@@ -11,18 +11,18 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Services dispatches calls to plain services over HTTP.
-type Services struct {
+// ServiceClient dispatches calls to plain services over HTTP.
+type ServiceClient struct {
 	transports *transportPool
 }
 
-// NewServices returns a Services that opens connections with dial.
-func NewServices(dial Dialer) *Services {
-	return &Services{transports: newTransportPool(dial)}
+// NewServiceClient returns a ServiceClient that opens connections with dial.
+func NewServiceClient(dial Dialer) *ServiceClient {
+	return &ServiceClient{transports: newTransportPool(dial)}
 }
 
-// Do implements serving.Services.
-func (s *Services) Do(ctx context.Context, t *target.Target, call *serving.Call, req serving.ServiceRequest) (*serving.ServiceAnswer, error) {
+// Do implements serving.ServiceClient.
+func (s *ServiceClient) Do(ctx context.Context, t *target.Target, call *serving.Call, req serving.ServiceRequest) (*serving.ServiceResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	httpReq, err := newServiceRequest(ctx, t, call, req)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	RemoveHopByHop(resp.Header)
 	body := &timeoutBody{body: resp.Body, cancel: cancel, timeout: timeout, retireTransport: func() { s.transports.retire(t, rt) }}
-	return &serving.ServiceAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return &serving.ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
 func newServiceRequest(ctx context.Context, t *target.Target, call *serving.Call, req serving.ServiceRequest) (*http.Request, error) {
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -18,7 +18,7 @@
 
 func observe(t *Tracker, now time.Time, workspace string, good, bad int) {
 	for i := range good + bad {
-		s := serving.Sample{Route: "grade", Workspace: workspace, FirstToken: 100 * time.Millisecond, Complete: true, Attempts: 1, Cause: "prefill"}
+		s := serving.Sample{Route: "grade", Workspace: workspace, FirstToken: 100 * time.Millisecond, Complete: true, Attempts: 1, FirstTokenCause: "prefill"}
 		if i < bad {
 			s.FirstToken = 2 * time.Second
 		}
--- a/internal/burn/tracker.go
+++ b/internal/burn/tracker.go
@@ -123,7 +123,7 @@
 	if s.Refusal != "" && s.Attempts == 0 {
 		return causeRefusal
 	}
-	return s.Cause
+	return s.FirstTokenCause
 }
 
 func (t *Tracker) count(now time.Time, key seriesKey, good bool, cause string) {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -26,12 +26,12 @@
 	return c.HelpLong(help + "\n\nExample:\n  " + line)
 }
 
-func readFile(name string) (*config.File, error) {
+func readFile(name string) (*config.DocumentFile, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	f, err := config.ParseFile(data)
+	f, err := config.ParseDocumentFile(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -61,14 +61,14 @@
 	// current is the section in force, nil if there is none.
 	current *configv1.Section
 	patch   []byte
-	from    config.Contents
-	to      config.Contents
+	from    config.RawSection
+	to      config.RawSection
 }
 
 // computeChanges compares a document file with the sections in force. It skips
 // sections that the operator has not edited since reading them, even if they
 // were changed on the server in the meantime.
-func computeChanges(f *config.File, current map[config.Section]*configv1.Section) ([]sectionChange, error) {
+func computeChanges(f *config.DocumentFile, current map[config.Section]*configv1.Section) ([]sectionChange, error) {
 	var changes []sectionChange
 	for _, name := range config.Sections {
 		newContents, present := f.Sections[name]
@@ -79,11 +79,11 @@
 		if hasBase && base.SHA256 == newContents.Digest() {
 			continue
 		}
-		currentContents, err := config.ParseContents(sectionContents(current[name]))
+		currentContents, err := config.ParseRawSection(sectionContents(current[name]))
 		if err != nil {
 			return nil, fmt.Errorf("section %s of the VM: %w", name, err)
 		}
-		patch := currentContents.Diff(newContents)
+		patch := currentContents.MergePatchTo(newContents)
 		if patch == nil {
 			continue
 		}
@@ -106,10 +106,10 @@
 
 // validateMerged validates the document that results from applying the file to
 // the current sections.
-func validateMerged(f *config.File, current map[config.Section]*configv1.Section) error {
-	merged := &config.File{Sections: make(map[config.Section]config.Contents)}
+func validateMerged(f *config.DocumentFile, current map[config.Section]*configv1.Section) error {
+	merged := &config.DocumentFile{Sections: make(map[config.Section]config.RawSection)}
 	for name, section := range current {
-		contents, err := config.ParseContents(section.GetContents())
+		contents, err := config.ParseRawSection(section.GetContents())
 		if err != nil {
 			return err
 		}
--- a/internal/cli/config_apply.go
+++ b/internal/cli/config_apply.go
@@ -60,7 +60,7 @@
 // checkBaseRevisions verifies that the patches were computed against the
 // revisions that the file was read from. Edits committed after this check are
 // detected by the control log.
-func checkBaseRevisions(f *config.File, changes []sectionChange, overwrite bool) (int, error) {
+func checkBaseRevisions(f *config.DocumentFile, changes []sectionChange, overwrite bool) (int, error) {
 	for _, ch := range changes {
 		_, hasBase := f.Base[ch.section]
 		if !hasBase && !overwrite && ch.current.GetRevision() > 0 {
--- a/internal/cli/config_get.go
+++ b/internal/cli/config_get.go
@@ -22,7 +22,7 @@
 
 func (c *client) printConfig(names []string, defaults bool, out io.Writer) (int, error) {
 	for _, name := range names {
-		if !config.KnownSection(config.Section(name)) {
+		if !config.IsSection(config.Section(name)) {
 			return ExitRefused, errors.New(name + " is not a section of the document")
 		}
 	}
@@ -30,14 +30,14 @@
 	if err != nil {
 		return ExitFailed, err
 	}
-	f := &config.File{Base: make(map[config.Section]config.Base), Sections: make(map[config.Section]config.Contents)}
+	f := &config.DocumentFile{Base: make(map[config.Section]config.SectionBase), Sections: make(map[config.Section]config.RawSection)}
 	for name, section := range current {
-		contents, err := config.ParseContents(section.GetContents())
+		contents, err := config.ParseRawSection(section.GetContents())
 		if err != nil {
 			return ExitFailed, err
 		}
 		f.Sections[name] = contents
-		f.Base[name] = config.Base{Revision: section.GetRevision(), EditID: section.GetEditId(), SHA256: contents.Digest()}
+		f.Base[name] = config.SectionBase{Revision: section.GetRevision(), EditID: section.GetEditId(), SHA256: contents.Digest()}
 	}
 	if defaults {
 		if f, err = withDefaults(f); err != nil {
@@ -54,7 +54,7 @@
 
 // withDefaults returns the sections of f with the defaults of unset fields
 // filled in.
-func withDefaults(f *config.File) (*config.File, error) {
+func withDefaults(f *config.DocumentFile) (*config.DocumentFile, error) {
 	var d config.Document
 	for name, contents := range f.Sections {
 		members := make([]string, 0, len(contents))
@@ -66,11 +66,11 @@
 			return nil, &config.InvalidError{Problems: problems}
 		}
 	}
-	all, err := d.WithDefaults().Split()
+	all, err := d.WithDefaults().RawSections()
 	if err != nil {
 		return nil, err
 	}
-	out := &config.File{Sections: make(map[config.Section]config.Contents)}
+	out := &config.DocumentFile{Sections: make(map[config.Section]config.RawSection)}
 	for name := range f.Sections {
 		out.Sections[name] = all[name]
 	}
--- a/internal/cli/config_validate.go
+++ b/internal/cli/config_validate.go
@@ -45,12 +45,12 @@
 	if err != nil {
 		return false, err
 	}
-	problems := f.CheckSections()
-	if f.Whole() {
+	problems := f.ValidateSections()
+	if f.HasRequiredSections() {
 		_, problems = f.Document()
 	}
 	if len(problems) > 0 {
-		return f.Whole(), fmt.Errorf("%s: %w", name, &config.InvalidError{Problems: problems})
+		return f.HasRequiredSections(), fmt.Errorf("%s: %w", name, &config.InvalidError{Problems: problems})
 	}
-	return f.Whole(), nil
+	return f.HasRequiredSections(), nil
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -54,7 +54,7 @@
 func demoDocument(key string) config.Document {
 	return config.Document{
 		Models:     map[string]config.Model{demoModel: {ServingVersion: demoVersion}},
-		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "demo", SHA256: keys.Sum(key).String()}}}},
+		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "demo", SHA256: keys.HashKey(key).String()}}}},
 		Rates:      map[string]config.Rate{"yards": {RateTokensPerSecond: 10000, BurstTokens: 50000}},
 		Routes:     map[string]config.Route{"grade": {Kind: config.KindModel, Model: demoModel}},
 		Zones: map[string]config.Zone{
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -34,7 +34,7 @@
 			return ExitOK
 		}
 		add := func(cl *client, out, errOut io.Writer) (int, error) {
-			return cl.addKey(*workspace, keyEntry(*id, keys.Sum(key)), out, errOut)
+			return cl.addKey(*workspace, keyEntry(*id, keys.HashKey(key)), out, errOut)
 		}
 		// Standard output carries only the key, so the outcome of the edit
 		// goes to standard error.
@@ -55,10 +55,10 @@
 
 func printNewKey(key, output string, out io.Writer) {
 	if output == outputJSON {
-		_ = printJSON(out, map[string]string{"key": key, "sha256": keys.Sum(key).String()})
+		_ = printJSON(out, map[string]string{"key": key, "sha256": keys.HashKey(key).String()})
 		return
 	}
-	fmt.Fprintf(out, "key:    %s\nsha256: %s\n", key, keys.Sum(key))
+	fmt.Fprintf(out, "key:    %s\nsha256: %s\n", key, keys.HashKey(key))
 }
 
 // addKey adds a key to a workspace of the document in force.
@@ -68,7 +68,7 @@
 		return ExitFailed, err
 	}
 	section := current[config.SectionWorkspaces]
-	currentContents, err := config.ParseContents(sectionContents(section))
+	currentContents, err := config.ParseRawSection(sectionContents(section))
 	if err != nil {
 		return ExitFailed, err
 	}
--- a/internal/cli/keys_withdraw.go
+++ b/internal/cli/keys_withdraw.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return ExitRefused, err
 	}
-	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.ToBytes(hashes), EditId: newEditID()}
+	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.EncodeHashes(hashes), EditId: newEditID()}
 	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.WithdrawKeysResponse, error) {
 		return s.WithdrawKeys(ctx, request)
 	})
@@ -106,7 +106,7 @@
 			return nil, fmt.Errorf("workspace %s has no key %s in the document in force", workspace, id)
 		}
 	}
-	return keyset.FromBytes(rawHashes)
+	return keyset.DecodeHashes(rawHashes)
 }
 
 func readKeyHashes(in io.Reader) []keys.Hash {
@@ -114,7 +114,7 @@
 	scanner := bufio.NewScanner(in)
 	for scanner.Scan() {
 		if key := strings.TrimSpace(scanner.Text()); key != "" {
-			hashes = append(hashes, keys.Sum(key))
+			hashes = append(hashes, keys.HashKey(key))
 		}
 	}
 	return hashes
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -96,7 +96,7 @@
 	caller := &loadgen.Caller{
 		Client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 		URLs:         cluster.callerURLs(),
-		ExpectedText: standin.Answer,
+		ExpectedText: standin.ExpectedAnswer,
 	}
 	if err := cluster.waitReady(ctx); err != nil {
 		return nil, err
@@ -137,11 +137,11 @@
 					Zone: zone, Region: p.Zones[zone].Region, Model: m.Name, Version: "v1",
 					TokenInterval: loadEngineTokenInterval, BatchSlots: engineBatchSlots,
 					Cache: standin.CacheOptions{
-						Blocks:                 m.PromptBlocks * cachePrompts,
+						CapacityBlocks:         m.PromptBlocks * cachePrompts,
 						BlockTokens:            loadgen.BlockTokens,
 						PrefillTokensPerSecond: loadgen.PrefillRate,
 						EventLag:               200 * time.Millisecond,
-						EventLoss:              0.01,
+						EventLossRate:          0.01,
 						LoadLag:                500 * time.Millisecond,
 					},
 				})
--- a/internal/cli/local_cluster.go
+++ b/internal/cli/local_cluster.go
@@ -57,7 +57,7 @@
 		c.nodes = append(c.nodes, node)
 	}
 	for _, e := range engines {
-		e.Announce = c.announceURLs(e.Zone)
+		e.AnnounceURLs = c.announceURLs(e.Zone)
 		engine, err := standin.StartEngine("127.0.0.1:0", e)
 		if err != nil {
 			return err
@@ -106,7 +106,7 @@
 	}
 	join := c.settings[0].GossipAddress
 	for i := range c.settings {
-		c.settings[i].Voters = voters
+		c.settings[i].InitialVoters = voters
 		c.settings[i].Join = []string{join}
 	}
 }
@@ -143,7 +143,7 @@
 
 func assignAddresses(s *settings.Settings) error {
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
-		address, err := loopback.Address()
+		address, err := loopback.AllocateAddress()
 		if err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 func (c *localCluster) startService(name string) (*standin.Service, error) {
 	zone := c.settings[0].Zone
 	return standin.StartService("127.0.0.1:0", standin.ServiceOptions{
-		ID: name + "-1", Zone: zone, Region: c.settings[0].Region, Service: name, Announce: c.announceURLs(zone),
+		ID: name + "-1", Zone: zone, Region: c.settings[0].Region, Service: name, AnnounceURLs: c.announceURLs(zone),
 	})
 }
 
@@ -171,7 +171,7 @@
 // of the control log.
 func (c *localCluster) waitReady(ctx context.Context) error {
 	for _, n := range c.nodes {
-		for !n.Knows(len(c.nodes), len(c.engines)) {
+		for !n.SeesAtLeast(len(c.nodes), len(c.engines)) {
 			select {
 			case <-ctx.Done():
 				return errors.New("timed out waiting for every VM to discover the other VMs, all targets and the leader")
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -33,13 +33,13 @@
 	t.Helper()
 	s := settings.Settings{VM: "vm-1", Zone: "muc-a", Region: "oberbayern", DataFolder: t.TempDir()}
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
-		address, err := loopback.Address()
+		address, err := loopback.AllocateAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
 		*a = address
 	}
-	s.Voters = map[string]string{s.VM: s.PeerAddress}
+	s.InitialVoters = map[string]string{s.VM: s.PeerAddress}
 	n, err := daemon.Start(s, daemon.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cmd/measure/decisions.go
+++ b/internal/cmd/measure/decisions.go
@@ -86,7 +86,7 @@
 	// Heartbeats dated in the future keep the engines live during the run.
 	const runTime = time.Minute
 	for e := range engines {
-		picker.Registry.Announce(target.Announcement{
+		picker.Registry.MergeAnnouncement(target.Announcement{
 			ID: fmt.Sprint(e), Incarnation: 1, Sequence: 1, Kind: target.KindEngine,
 			Zone: "a", Region: "r", Model: "m", Version: "v1", BatchSlots: 64,
 		}, time.Now().Add(runTime))
--- a/internal/cmd/measure/main.go
+++ b/internal/cmd/measure/main.go
@@ -114,9 +114,9 @@
 func writeTable(out *strings.Builder, policies []enginemodel.Policy, results []*enginemodel.Result) {
 	out.WriteString("| policy | requests | hit rate | p50 first token | p99 first token | waste | worst workspace | refused |\n|---|---|---|---|---|---|---|---|\n")
 	for i, p := range policies {
-		m := results[i].Measures()
+		m := results[i].Summarize()
 		fmt.Fprintf(out, "| %s | %d | %.1f%% | %s | %s | %.2f%% | %.2f | %.2f%% |\n", p.Name, m.Requests,
-			100*m.HitRate, milliseconds(m.P50), milliseconds(m.P99), 100*m.Waste, m.WorstWorkspace, 100*m.Refused)
+			100*m.HitRate, milliseconds(m.P50), milliseconds(m.P99), 100*m.RecomputedFraction, m.WorstWorkspaceRatio, 100*m.Refused)
 	}
 	out.WriteString("\n")
 }
@@ -133,7 +133,7 @@
 // writeGoals compares the results with the values that the design document
 // requires.
 func writeGoals(out *strings.Builder, results []*enginemodel.Result) {
-	least, best, ours := results[leastOutstandingIndex].Measures(), results[oracleIndex].Measures(), results[cuminwingIndex].Measures()
+	least, best, ours := results[leastOutstandingIndex].Summarize(), results[oracleIndex].Summarize(), results[cuminwingIndex].Summarize()
 	writeGoal := func(name string, value, limit float64, met bool) {
 		verdict := "met"
 		if !met {
@@ -146,15 +146,15 @@
 	writeGoal("hit rate over the oracle's, at least", ours.HitRate/best.HitRate, 0.95, ours.HitRate >= 0.95*best.HitRate)
 	writeGoal("p99 over least outstanding, at most", ratio(ours.P99, least.P99), 0.5, 2*ours.P99 <= least.P99)
 	writeGoal("p99 over the oracle's, at most", ratio(ours.P99, best.P99), 1.2, ratio(ours.P99, best.P99) <= 1.2)
-	writeGoal("waste, under", ours.Waste, 0.05, ours.Waste < 0.05)
-	writeGoal("worst workspace over median, at most", ours.WorstWorkspace, 1.15, ours.WorstWorkspace <= 1.15)
+	writeGoal("waste, under", ours.RecomputedFraction, 0.05, ours.RecomputedFraction < 0.05)
+	writeGoal("worst workspace over median, at most", ours.WorstWorkspaceRatio, 1.15, ours.WorstWorkspaceRatio <= 1.15)
 	fmt.Fprintf(out, "\nThe oracle's p99 is %.2f of that of least outstanding, its worst workspace %.2f. Blocks are evicted after %.1f s without use.\n\n",
-		ratio(best.P99, least.P99), best.WorstWorkspace, ours.EvictionAge.Seconds())
+		ratio(best.P99, least.P99), best.WorstWorkspaceRatio, ours.EvictionAge.Seconds())
 }
 
 func writeParts(out *strings.Builder, c enginemodel.Config) {
 	fmt.Fprintf(out, "## Parts of the picker (%s)\n\n", c.Name)
-	writeTable(out, enginemodel.Parts, runPooled(c, enginemodel.Parts))
+	writeTable(out, enginemodel.Ablations, runPooled(c, enginemodel.Ablations))
 }
 
 // writeVariants compares the policies under changed conditions, most of them
@@ -171,7 +171,7 @@
 		{"Load reports 1 s late", func(c *enginemodel.Config) { c.LoadLag = time.Second }},
 		{"Load reports without lag", func(c *enginemodel.Config) { c.LoadLag = 0 }},
 		{"Messages between VMs 50 ms late", func(c *enginemodel.Config) { c.PublishLag = 50 * time.Millisecond }},
-		{"Hot set shifts every 15 s", func(c *enginemodel.Config) { c.Workload.Shift = 15 * time.Second }},
+		{"Hot set shifts every 15 s", func(c *enginemodel.Config) { c.Workload.HotSetLifetime = 15 * time.Second }},
 		{"30% more load", func(c *enginemodel.Config) { c.Workload.RequestsPerSecond *= 1.3 }},
 		{"Half the load", func(c *enginemodel.Config) { c.Workload.RequestsPerSecond /= 2 }},
 	} {
--- a/internal/cmd/measure/plots.go
+++ b/internal/cmd/measure/plots.go
@@ -27,10 +27,10 @@
 	out.WriteString("## Plots\n\n")
 	bars := []struct {
 		name, title, unit string
-		value             func(enginemodel.Measures) float64
+		value             func(enginemodel.Summary) float64
 	}{
-		{"first-token-p99", "p99 time to first token", "ms", func(m enginemodel.Measures) float64 { return m.P99.Seconds() * 1000 }},
-		{"hit-rate", "Prefix hit rate", "%", func(m enginemodel.Measures) float64 { return 100 * m.HitRate }},
+		{"first-token-p99", "p99 time to first token", "ms", func(m enginemodel.Summary) float64 { return m.P99.Seconds() * 1000 }},
+		{"hit-rate", "Prefix hit rate", "%", func(m enginemodel.Summary) float64 { return 100 * m.HitRate }},
 	}
 	for _, b := range bars {
 		if err := barPlot(b.name, b.title, b.unit, deployments, results, b.value); err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func barPlot(name, title, unit string, deployments []enginemodel.Config, results [][]*enginemodel.Result, value func(enginemodel.Measures) float64) error {
+func barPlot(name, title, unit string, deployments []enginemodel.Config, results [][]*enginemodel.Result, value func(enginemodel.Summary) float64) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Label.Text = unit
@@ -57,7 +57,7 @@
 	for i, policy := range enginemodel.Policies {
 		values := make(plotter.Values, len(deployments))
 		for d := range deployments {
-			values[d] = value(results[d][i].Measures())
+			values[d] = value(results[d][i].Summarize())
 		}
 		bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
 		if err != nil {
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -2,26 +2,27 @@
 
 import "github.com/cuminwing/cuminwing/internal/keys"
 
-// Checker validates changes to a valid document. Unlike Document.Validate, it
-// skips the workspaces and rates that did not change: with 1,900 workspaces it
-// checks an edit of one of them many times faster.
-type Checker struct {
+// IncrementalValidator validates changes to a valid document. Unlike
+// Document.Validate, it skips the workspaces and rates that did not change:
+// with 1,900 workspaces it checks an edit of one of them many times faster.
+type IncrementalValidator struct {
 	// owners maps each key hash of the document to the workspace of the key.
 	owners map[keys.Hash]string
 }
 
-// NewChecker returns a checker for changes to d, which must be valid.
-func NewChecker(d Document) *Checker {
-	c := &Checker{owners: make(map[keys.Hash]string)}
+// NewIncrementalValidator returns a validator for changes to d, which must be
+// valid.
+func NewIncrementalValidator(d Document) *IncrementalValidator {
+	c := &IncrementalValidator{owners: make(map[keys.Hash]string)}
 	for name, w := range d.Workspaces {
 		c.addKeys(name, w)
 	}
 	return c
 }
 
-// Check returns every problem of next. changed lists, by section, the members
+// Validate returns every problem of next. changed lists, by section, the members
 // that may differ from the valid document old.
-func (c *Checker) Check(old, next Document, changed map[Section][]string) []Problem {
+func (c *IncrementalValidator) Validate(old, next Document, changed map[Section][]string) []Problem {
 	v := &validator{doc: next}
 	v.doc.Models = mapValues(next.Models, modelDefaults)
 	v.doc.Routes = mapValues(next.Routes, routeDefaults)
@@ -41,7 +42,7 @@
 	return next.Validate()
 }
 
-func (c *Checker) checkChangedWorkspaces(v *validator, old, next Document, names []string) {
+func (c *IncrementalValidator) checkChangedWorkspaces(v *validator, old, next Document, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -80,8 +81,8 @@
 	}
 }
 
-// Accept updates the checker after a change that Check found valid.
-func (c *Checker) Accept(old, next Document, changed map[Section][]string) {
+// Apply updates the validator after a change that Validate found valid.
+func (c *IncrementalValidator) Apply(old, next Document, changed map[Section][]string) {
 	for _, name := range changed[SectionWorkspaces] {
 		for _, h := range keyHashes(old.Workspaces[name]) {
 			delete(c.owners, h)
@@ -92,7 +93,7 @@
 	}
 }
 
-func (c *Checker) addKeys(name string, w Workspace) {
+func (c *IncrementalValidator) addKeys(name string, w Workspace) {
 	for _, h := range keyHashes(w) {
 		c.owners[h] = name
 	}
--- a/internal/config/checker_test.go
+++ b/internal/config/checker_test.go
@@ -20,15 +20,15 @@
 			Routes:     map[string]Route{"r": {Kind: KindModel, Model: "m"}},
 			Zones:      map[string]Zone{"z": {Region: "r", VMSlots: 1}},
 		}
-		checker := NewChecker(d)
+		checker := NewIncrementalValidator(d)
 		for range rapid.IntRange(1, 20).Draw(t, "edits") {
 			next, changed := randomEdit(t, d)
-			got, want := checker.Check(d, next, changed), next.Validate()
+			got, want := checker.Validate(d, next, changed), next.Validate()
 			if len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
 				t.Fatalf("incremental check returned %v, full validation %v", got, want)
 			}
 			if len(want) == 0 {
-				checker.Accept(d, next, changed)
+				checker.Apply(d, next, changed)
 				d = next
 			}
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 		{`{"a":"foo"}`, `"bar"`, `"bar"`},
 		{`[1,2]`, `{"a":"b","c":null}`, `{"a":"b"}`},
 	} {
-		section, err := ParseContents([]byte(`{"m":` + c.old + `}`))
+		section, err := ParseRawSection([]byte(`{"m":` + c.old + `}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,15 +43,15 @@
 	f.Add(`{"a":1}`, `{}`)
 	f.Add(`{"a":{"b":{"c":1}}}`, `{"a":{"b":7}}`)
 	f.Fuzz(func(t *testing.T, from, to string) {
-		old, err := ParseContents([]byte(from))
+		old, err := ParseRawSection([]byte(from))
 		if err != nil || strings.Contains(to, "null") {
 			return
 		}
-		want, err := ParseContents([]byte(to))
+		want, err := ParseRawSection([]byte(to))
 		if err != nil {
 			return
 		}
-		patch := old.Diff(want)
+		patch := old.MergePatchTo(want)
 		if patch == nil {
 			patch = []byte("{}")
 		}
@@ -68,7 +68,7 @@
 	f.Add([]byte(`{"models":{"m":{"serving_version":"v1"}},"base":{"models":{"revision":3,"sha256":""}}}`))
 	f.Add([]byte(`{"limits":{"max_body_bytes":-1},"zones":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		file, err := ParseFile(data)
+		file, err := ParseDocumentFile(data)
 		if err != nil {
 			return
 		}
@@ -107,11 +107,11 @@
 // hours, which would stop every voter that applies the edit.
 func TestHugeNumbersAreRefused(t *testing.T) {
 	for _, number := range []string{"1e9999999", "1e-9999999", "1E+400", strings.Repeat("9", 5000)} {
-		contents, err := ParseContents([]byte(`{"w":{"burst_tokens":1,"rate_tokens_per_second":` + number + `,"new":[` + number + `]}}`))
+		contents, err := ParseRawSection([]byte(`{"w":{"burst_tokens":1,"rate_tokens_per_second":` + number + `,"new":[` + number + `]}}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if problems := CheckMembers(SectionRates, contents, []string{"w"}); len(problems) != 2 {
+		if problems := ValidateMembers(SectionRates, contents, []string{"w"}); len(problems) != 2 {
 			t.Errorf("number %.20s: problems %v, want two", number, problems)
 		}
 	}
--- a/internal/config/docfile.go
+++ b/internal/config/docfile.go
@@ -8,10 +8,10 @@
 	"fmt"
 )
 
-// Base identifies the state of a section from which a document file was read.
-// With it, an edit of the file is accepted only if nobody else has changed the
-// section since.
-type Base struct {
+// SectionBase identifies the state of a section from which a document file was
+// read. With it, an edit of the file is accepted only if nobody else has
+// changed the section since.
+type SectionBase struct {
 	// Revision is the revision of the section.
 	Revision uint64 `json:"revision"`
 	// EditID is the ID of the edit that created this revision.
@@ -25,22 +25,22 @@
 // section.
 const baseField = "base"
 
-// File is a document file as operators edit it: some or all sections, and the
-// state from which they were read.
-type File struct {
+// DocumentFile is a document file as operators edit it: some or all sections,
+// and the state from which they were read.
+type DocumentFile struct {
 	// Base holds the state of each section at the time of reading.
-	Base map[Section]Base
+	Base map[Section]SectionBase
 	// Sections holds the sections that the file contains.
-	Sections map[Section]Contents
+	Sections map[Section]RawSection
 }
 
-// ParseFile decodes a document file. It does not validate the sections.
-func ParseFile(data []byte) (*File, error) {
+// ParseDocumentFile decodes a document file. It does not validate the sections.
+func ParseDocumentFile(data []byte) (*DocumentFile, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil, &InvalidError{[]Problem{syntaxProblem(data, err)}}
 	}
-	f := &File{Sections: make(map[Section]Contents)}
+	f := &DocumentFile{Sections: make(map[Section]RawSection)}
 	var problems []Problem
 	for name, value := range raw {
 		if name == baseField {
@@ -49,11 +49,11 @@
 			}
 			continue
 		}
-		if !KnownSection(Section(name)) {
+		if !IsSection(Section(name)) {
 			problems = append(problems, Problem{Path: name, Reason: "is not a section of the document"})
 			continue
 		}
-		contents, err := ParseContents(value)
+		contents, err := ParseRawSection(value)
 		if err != nil {
 			problems = append(problems, decodeProblem(name, err))
 			continue
@@ -80,14 +80,14 @@
 }
 
 // Digest returns the hexadecimal SHA-256 of the section's JSON.
-func (c Contents) Digest() string {
+func (c RawSection) Digest() string {
 	sum := sha256.Sum256(c.JSON())
 	return hex.EncodeToString(sum[:])
 }
 
 // JSON encodes the file with indentation and with the sections in document
 // order.
-func (f *File) JSON() ([]byte, error) {
+func (f *DocumentFile) JSON() ([]byte, error) {
 	var buf bytes.Buffer
 	buf.WriteByte('{')
 	writeName := func(name string) {
@@ -122,7 +122,7 @@
 // Document decodes the sections of the file and returns every problem found,
 // including references between sections. Sections that are not in the file are
 // empty.
-func (f *File) Document() (*Document, []Problem) {
+func (f *DocumentFile) Document() (*Document, []Problem) {
 	var d Document
 	var problems []Problem
 	decoded := true
@@ -132,7 +132,7 @@
 			continue
 		}
 		members := contents.memberNames()
-		found := CheckMembers(name, contents, members)
+		found := ValidateMembers(name, contents, members)
 		next, decodeProblems := d.WithMembers(name, contents, members)
 		if len(decodeProblems) > 0 {
 			decoded = false
@@ -165,18 +165,18 @@
 	return problems
 }
 
-// CheckSections returns the problems of each section on its own, without
+// ValidateSections returns the problems of each section on its own, without
 // references between sections.
-func (f *File) CheckSections() []Problem {
+func (f *DocumentFile) ValidateSections() []Problem {
 	var problems []Problem
 	for name, contents := range f.Sections {
-		problems = append(problems, CheckMembers(name, contents, contents.memberNames())...)
+		problems = append(problems, ValidateMembers(name, contents, contents.memberNames())...)
 	}
 	return sortProblems(problems)
 }
 
-// Whole reports whether the file has every required section.
-func (f *File) Whole() bool {
+// HasRequiredSections reports whether the file has every required section.
+func (f *DocumentFile) HasRequiredSections() bool {
 	for _, name := range []Section{SectionModels, SectionWorkspaces, SectionRates, SectionRoutes, SectionZones} {
 		if _, present := f.Sections[name]; !present {
 			return false
@@ -185,4 +185,4 @@
 	return true
 }
 
-func (c Contents) memberNames() []string { return sortedNames(c) }
+func (c RawSection) memberNames() []string { return sortedNames(c) }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -23,7 +23,7 @@
 
 // Parse decodes and validates a document. The error lists every problem found.
 func Parse(data []byte) (*Document, error) {
-	f, err := ParseFile(data)
+	f, err := ParseDocumentFile(data)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -8,13 +8,13 @@
 	"sort"
 )
 
-// Contents is one section as raw JSON: its members by name. A Contents must not
-// be modified; Merge returns a new one.
-type Contents map[string]json.RawMessage
+// RawSection is one section as raw JSON: its members by name. A RawSection must
+// not be modified; Merge returns a new one.
+type RawSection map[string]json.RawMessage
 
-// ParseContents decodes the JSON object of one section.
-func ParseContents(data []byte) (Contents, error) {
-	var c Contents
+// ParseRawSection decodes the JSON object of one section.
+func ParseRawSection(data []byte) (RawSection, error) {
+	var c RawSection
 	if err := json.Unmarshal(data, &c); err != nil {
 		return nil, err
 	}
@@ -29,7 +29,7 @@
 }
 
 // JSON encodes the section with its members sorted by name.
-func (c Contents) JSON() []byte {
+func (c RawSection) JSON() []byte {
 	if c == nil {
 		return []byte("{}")
 	}
@@ -40,7 +40,7 @@
 
 // Merge applies a JSON merge patch (RFC 7396) to the section. It returns the
 // merged section and the sorted names of the members in the patch.
-func (c Contents) Merge(patch []byte) (Contents, []string, error) {
+func (c RawSection) Merge(patch []byte) (RawSection, []string, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(patch, &members); err != nil {
 		return nil, nil, fmt.Errorf("patch is not a JSON object: %w", err)
@@ -50,7 +50,7 @@
 	}
 	merged := maps.Clone(c)
 	if merged == nil {
-		merged = make(Contents, len(members))
+		merged = make(RawSection, len(members))
 	}
 	changed := make([]string, 0, len(members))
 	for name, member := range members {
@@ -103,9 +103,9 @@
 	return object
 }
 
-// Diff returns the merge patch that turns c into want, or nil if they are
-// equal.
-func (c Contents) Diff(want Contents) []byte {
+// MergePatchTo returns the merge patch that turns c into want, or nil if they
+// are equal.
+func (c RawSection) MergePatchTo(want RawSection) []byte {
 	patch := make(map[string]any)
 	for name := range c {
 		if _, kept := want[name]; !kept {
@@ -198,7 +198,7 @@
 // AppendKey returns the merge patch that adds a key to a workspace. A merge
 // patch replaces lists as a whole, so the patch repeats the existing keys of
 // the workspace.
-func (c Contents) AppendKey(workspace string, key Key) ([]byte, error) {
+func (c RawSection) AppendKey(workspace string, key Key) ([]byte, error) {
 	var entry Workspace
 	if raw, known := c[workspace]; known {
 		if err := decodeStrict(raw, &entry); err != nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -62,9 +62,9 @@
 	return compiler.MustCompile(schemaURL + "#/$defs/name")
 })
 
-// CheckMembers checks the named members of a section against the schema and
+// ValidateMembers checks the named members of a section against the schema and
 // returns every problem, sorted. It skips names that contents does not have.
-func CheckMembers(s Section, contents Contents, names []string) []Problem {
+func ValidateMembers(s Section, contents RawSection, names []string) []Problem {
 	schema, known := compiledSchemas()[s]
 	if !known {
 		return []Problem{{Path: string(s), Reason: "is not a section of the document"}}
--- a/internal/config/sections.go
+++ b/internal/config/sections.go
@@ -10,13 +10,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KnownSection reports whether s is a section of the document.
-func KnownSection(s Section) bool { return slices.Contains(Sections, s) }
+// IsSection reports whether s is a section of the document.
+func IsSection(s Section) bool { return slices.Contains(Sections, s) }
 
 // WithMembers returns a copy of d in which the named members of a section are
 // those in contents. It decodes only these members, so that a small edit of a
 // large section is cheap.
-func (d Document) WithMembers(s Section, contents Contents, names []string) (Document, []Problem) {
+func (d Document) WithMembers(s Section, contents RawSection, names []string) (Document, []Problem) {
 	var problems []Problem
 	switch s {
 	case SectionModels:
@@ -39,7 +39,7 @@
 	return d, problems
 }
 
-func withEntries[T any](entries map[string]T, s Section, contents Contents, names []string) (map[string]T, []Problem) {
+func withEntries[T any](entries map[string]T, s Section, contents RawSection, names []string) (map[string]T, []Problem) {
 	entries = maps.Clone(entries)
 	if entries == nil {
 		entries = make(map[string]T, len(names))
@@ -61,7 +61,7 @@
 	return entries, problems
 }
 
-func decodeLimits(contents Contents) (Limits, []Problem) {
+func decodeLimits(contents RawSection) (Limits, []Problem) {
 	var limits Limits
 	if err := decodeStrict(contents.JSON(), &limits); err != nil {
 		return limits, []Problem{decodeProblem(string(SectionLimits), err)}
@@ -92,27 +92,27 @@
 	return Problem{Path: path, Reason: err.Error()}
 }
 
-// Split encodes d as one raw JSON object per section.
-func (d Document) Split() (map[Section]Contents, error) {
+// RawSections encodes d as one raw JSON object per section.
+func (d Document) RawSections() (map[Section]RawSection, error) {
 	data, err := json.Marshal(d)
 	if err != nil {
 		return nil, err
 	}
-	return SplitJSON(data)
+	return SplitRawSections(data)
 }
 
-// SplitJSON splits an encoded document into its raw sections.
-func SplitJSON(data []byte) (map[Section]Contents, error) {
+// SplitRawSections splits an encoded document into its raw sections.
+func SplitRawSections(data []byte) (map[Section]RawSection, error) {
 	var raw map[Section]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil, err
 	}
-	sections := make(map[Section]Contents, len(raw))
+	sections := make(map[Section]RawSection, len(raw))
 	for s, value := range raw {
 		if isNull(value) {
 			continue
 		}
-		contents, err := ParseContents(value)
+		contents, err := ParseRawSection(value)
 		if err != nil {
 			return nil, &InvalidError{[]Problem{{Path: string(s), Reason: err.Error()}}}
 		}
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -78,8 +78,8 @@
 	return "", Route{}, false
 }
 
-// Slots returns the number of VM slots in all zones.
-func (s *Snapshot) Slots() int { return s.slots }
+// VMSlots returns the number of VM slots in all zones.
+func (s *Snapshot) VMSlots() int { return s.slots }
 
 func (s *Snapshot) indexKeys() {
 	for name, w := range s.Document.Workspaces {
--- a/internal/control/keyset/part.go
+++ b/internal/control/keyset/part.go
@@ -14,26 +14,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Part is the replicated set of withdrawn keys. Any goroutine may call
+// StateMachine is the replicated set of withdrawn keys. Any goroutine may call
 // Contains.
-type Part struct {
+type StateMachine struct {
 	onAdd func([]keys.Hash)
 
 	mu  sync.RWMutex
 	set map[keys.Hash]struct{}
 }
 
-// NewPart returns an empty set. It calls onAdd with the hashes of each command
-// and of each restored snapshot.
-func NewPart(onAdd func([]keys.Hash)) *Part {
-	return &Part{onAdd: onAdd, set: make(map[keys.Hash]struct{})}
+// NewStateMachine returns an empty set. It calls onAdd with the hashes of each
+// command and of each restored snapshot.
+func NewStateMachine(onAdd func([]keys.Hash)) *StateMachine {
+	return &StateMachine{onAdd: onAdd, set: make(map[keys.Hash]struct{})}
 }
 
 // EncodeWithdrawal returns the command that withdraws the keys with the given
 // hashes.
 func EncodeWithdrawal(hashes []keys.Hash) []byte {
 	// Marshal does not fail on a message built by this package.
-	data, _ := proto.Marshal(&keysv1.Withdrawal{Hashes: ToBytes(hashes)})
+	data, _ := proto.Marshal(&keysv1.Withdrawal{Hashes: EncodeHashes(hashes)})
 	return data
 }
 
@@ -43,11 +43,11 @@
 	if err := proto.Unmarshal(data, &message); err != nil {
 		return nil, fmt.Errorf("decode key withdrawal: %w", err)
 	}
-	return FromBytes(message.GetHashes())
+	return DecodeHashes(message.GetHashes())
 }
 
-// ToBytes converts hashes to their wire format.
-func ToBytes(hashes []keys.Hash) [][]byte {
+// EncodeHashes converts hashes to their wire format.
+func EncodeHashes(hashes []keys.Hash) [][]byte {
 	out := make([][]byte, len(hashes))
 	for i := range hashes {
 		out[i] = hashes[i][:]
@@ -55,8 +55,8 @@
 	return out
 }
 
-// FromBytes converts hashes from their wire format.
-func FromBytes(raw [][]byte) ([]keys.Hash, error) {
+// DecodeHashes converts hashes from their wire format.
+func DecodeHashes(raw [][]byte) ([]keys.Hash, error) {
 	out := make([]keys.Hash, len(raw))
 	for i, b := range raw {
 		if len(b) != len(out[i]) {
@@ -67,8 +67,8 @@
 	return out, nil
 }
 
-// Apply implements control.Part. The response is empty.
-func (p *Part) Apply(_ uint64, _ time.Time, body []byte) []byte {
+// Apply implements control.StateMachine. The response is empty.
+func (p *StateMachine) Apply(_ uint64, _ time.Time, body []byte) []byte {
 	hashes, err := DecodeWithdrawal(body)
 	if err != nil {
 		// EncodeWithdrawal never produces such a command. Every voter ignores
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (p *Part) add(hashes []keys.Hash) {
+func (p *StateMachine) add(hashes []keys.Hash) {
 	p.mu.Lock()
 	for _, h := range hashes {
 		p.set[h] = struct{}{}
@@ -90,15 +90,15 @@
 
 // Contains reports whether the withdrawal of the key with hash h is committed
 // and applied.
-func (p *Part) Contains(h keys.Hash) bool {
+func (p *StateMachine) Contains(h keys.Hash) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	_, ok := p.set[h]
 	return ok
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
+// Snapshot implements control.StateMachine.
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	p.mu.RLock()
 	hashes := make([]keys.Hash, 0, len(p.set))
 	for h := range p.set {
@@ -109,9 +109,9 @@
 	return EncodeWithdrawal(hashes), nil
 }
 
-// Restore implements control.Part. Because the set only grows, Restore adds to
-// it and keeps the keys that it already contains.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine. Because the set only grows, Restore
+// adds to it and keeps the keys that it already contains.
+func (p *StateMachine) Restore(data []byte) error {
 	hashes, err := DecodeWithdrawal(data)
 	if err != nil {
 		return err
--- a/internal/control/keyset/part_test.go
+++ b/internal/control/keyset/part_test.go
@@ -9,15 +9,15 @@
 
 // Guards against losing a withdrawal when a snapshot is taken and restored.
 func TestWithdrawalsSurviveSnapshot(t *testing.T) {
-	withdrawn := keys.NewWithdrawn()
-	p := NewPart(func(h []keys.Hash) { withdrawn.Add(h...) })
-	h := keys.Sum("cw-leaked")
+	withdrawn := keys.NewWithdrawnSet()
+	p := NewStateMachine(func(h []keys.Hash) { withdrawn.Add(h...) })
+	h := keys.HashKey("cw-leaked")
 	p.Apply(1, time.Time{}, EncodeWithdrawal([]keys.Hash{h}))
 	data, err := p.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewPart(func([]keys.Hash) {})
+	restored := NewStateMachine(func([]keys.Hash) {})
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 }
 
 func FuzzDecodeWithdrawal(f *testing.F) {
-	f.Add(EncodeWithdrawal([]keys.Hash{keys.Sum("a")}))
+	f.Add(EncodeWithdrawal([]keys.Hash{keys.HashKey("a")}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		hashes, err := DecodeWithdrawal(data)
 		if err != nil {
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind selects the Part that a command is applied to.
+// Kind selects the StateMachine that a command is applied to.
 type Kind uint8
 
 // Kinds of commands. The numbers are stored in log and snapshot files and must
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -19,9 +19,9 @@
 // commandHeaderBytes is the size of a command's version, kind and timestamp.
 const commandHeaderBytes = 1 + 1 + 8
 
-// Part is the state machine for one kind of command. Its methods must be
+// StateMachine is the state machine for one kind of command. Its methods must be
 // deterministic: the same calls must produce the same state on every voter.
-type Part interface {
+type StateMachine interface {
 	// Apply executes the command at the given log index and returns the
 	// response. Now never decreases from one command to the next.
 	Apply(index uint64, now time.Time, body []byte) []byte
@@ -31,18 +31,18 @@
 	Restore(data []byte) error
 }
 
-// Machine is the replicated state machine. It dispatches each command to the
-// Part for its kind. It is not safe for concurrent use; only the goroutine that
-// applies the log may call it.
-type Machine struct {
-	parts map[Kind]Part
-	now   int64
-	index uint64
+// CompositeStateMachine is the whole replicated state. It dispatches each
+// command to the StateMachine for its kind. It is not safe for concurrent use;
+// only the goroutine that applies the log may call it.
+type CompositeStateMachine struct {
+	stateMachines map[Kind]StateMachine
+	now           int64
+	index         uint64
 }
 
-// NewMachine returns a Machine that consists of the given parts.
-func NewMachine(parts map[Kind]Part) *Machine {
-	return &Machine{parts: parts}
+// NewCompositeStateMachine returns a machine that consists of the given ones.
+func NewCompositeStateMachine(stateMachines map[Kind]StateMachine) *CompositeStateMachine {
+	return &CompositeStateMachine{stateMachines: stateMachines}
 }
 
 // EncodeCommand prepends the command header to body. The header carries the
@@ -56,8 +56,8 @@
 }
 
 // Apply executes a command encoded by EncodeCommand and returns the response
-// of its Part.
-func (m *Machine) Apply(index uint64, command []byte) ([]byte, error) {
+// of its StateMachine.
+func (m *CompositeStateMachine) Apply(index uint64, command []byte) ([]byte, error) {
 	m.index = index
 	if len(command) < commandHeaderBytes {
 		return nil, fmt.Errorf("command at index %d is truncated: it has %d bytes, fewer than a command header", index, len(command))
@@ -65,24 +65,24 @@
 	if command[0] != commandVersion {
 		return nil, fmt.Errorf("command at index %d has unsupported format version %d", index, command[0])
 	}
-	part, ok := m.parts[Kind(command[1])]
+	stateMachine, ok := m.stateMachines[Kind(command[1])]
 	if !ok {
 		return nil, fmt.Errorf("command at index %d has unknown kind %d", index, command[1])
 	}
 	timestamp := int64(binary.LittleEndian.Uint64(command[2:]))
 	// The clock of a new leader may be behind that of its predecessor, but
-	// the time passed to a Part must never decrease.
+	// the time passed to a StateMachine must never decrease.
 	m.now = max(m.now, timestamp)
-	return part.Apply(index, time.UnixMilli(m.now), command[commandHeaderBytes:]), nil
+	return stateMachine.Apply(index, time.UnixMilli(m.now), command[commandHeaderBytes:]), nil
 }
 
 // Index returns the log index of the last command passed to Apply.
-func (m *Machine) Index() uint64 { return m.index }
+func (m *CompositeStateMachine) Index() uint64 { return m.index }
 
-// Snapshot encodes the state of all parts.
-func (m *Machine) Snapshot() ([]byte, error) {
-	kinds := make([]Kind, 0, len(m.parts))
-	for k := range m.parts {
+// Snapshot encodes the state of all state machines.
+func (m *CompositeStateMachine) Snapshot() ([]byte, error) {
+	kinds := make([]Kind, 0, len(m.stateMachines))
+	for k := range m.stateMachines {
 		kinds = append(kinds, k)
 	}
 	sort.Slice(kinds, func(i, j int) bool { return kinds[i] < kinds[j] })
@@ -90,7 +90,7 @@
 	buf = protowire.AppendVarint(buf, m.index)
 	buf = protowire.AppendVarint(buf, uint64(m.now))
 	for _, k := range kinds {
-		data, err := m.parts[k].Snapshot()
+		data, err := m.stateMachines[k].Snapshot()
 		if err != nil {
 			return nil, fmt.Errorf("encode the state for commands of kind %d: %w", k, err)
 		}
@@ -102,8 +102,8 @@
 
 var errTruncatedSnapshot = errors.New("state machine snapshot is truncated")
 
-// Restore replaces the state of each Part in the snapshot.
-func (m *Machine) Restore(data []byte) error {
+// Restore replaces the state of each StateMachine in the snapshot.
+func (m *CompositeStateMachine) Restore(data []byte) error {
 	if len(data) < 1 {
 		return errTruncatedSnapshot
 	}
@@ -120,7 +120,7 @@
 	if n < 0 {
 		return errTruncatedSnapshot
 	}
-	if err := m.restoreParts(data[n:]); err != nil {
+	if err := m.restoreStateMachines(data[n:]); err != nil {
 		return err
 	}
 	m.index = index
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (m *Machine) restoreParts(data []byte) error {
+func (m *CompositeStateMachine) restoreStateMachines(data []byte) error {
 	for len(data) > 0 {
 		kind, n := protowire.ConsumeVarint(data)
 		if n < 0 {
@@ -140,11 +140,11 @@
 			return errTruncatedSnapshot
 		}
 		data = data[n:]
-		part, ok := m.parts[Kind(kind)]
+		stateMachine, ok := m.stateMachines[Kind(kind)]
 		if !ok {
 			return fmt.Errorf("state machine snapshot has unknown command kind %d", kind)
 		}
-		if err := part.Restore(body); err != nil {
+		if err := stateMachine.Restore(body); err != nil {
 			return fmt.Errorf("restore the state for commands of kind %d: %w", kind, err)
 		}
 	}
--- a/internal/control/sections/bench_test.go
+++ b/internal/control/sections/bench_test.go
@@ -35,7 +35,7 @@
 	return commands
 }
 
-func replay(tb testing.TB, commands [][]byte) *Part {
+func replay(tb testing.TB, commands [][]byte) *StateMachine {
 	tb.Helper()
 	p := newPart()
 	for i, c := range commands {
--- a/internal/control/sections/codec.go
+++ b/internal/control/sections/codec.go
@@ -37,7 +37,7 @@
 	s.Revision = d.GetRevision()
 	for _, section := range d.GetSections() {
 		name := config.Section(section.GetName())
-		contents, err := config.ParseContents(section.GetContents())
+		contents, err := config.ParseRawSection(section.GetContents())
 		if err != nil {
 			return nil, fmt.Errorf("section %q: %w", name, err)
 		}
--- a/internal/control/sections/part.go
+++ b/internal/control/sections/part.go
@@ -21,33 +21,34 @@
 // and thereby what the edit adds to the replicated state.
 const maxProblems = 100
 
-// Part is the replicated configuration state. Only the goroutine that applies
-// the log may call Apply, Snapshot and Restore; any goroutine may call State.
-type Part struct {
+// StateMachine is the replicated configuration state. Only the goroutine that
+// applies the log may call Apply, Snapshot and Restore; any goroutine may call
+// State.
+type StateMachine struct {
 	state    atomic.Pointer[State]
 	onChange func()
-	// checker validates changes against the document in state.
-	checker *config.Checker
+	// validator validates changes against the document in state.
+	validator *config.IncrementalValidator
 
 	results map[string]*configv1.EditResult
 	// resultOrder lists the edit IDs in results, oldest first.
 	resultOrder []string
 }
 
-// NewPart returns a Part with an empty document. It calls onChange each time the
-// state is replaced.
-func NewPart(onChange func()) *Part {
-	p := &Part{onChange: onChange, results: make(map[string]*configv1.EditResult)}
+// NewStateMachine returns a StateMachine with an empty document. It calls
+// onChange each time the state is replaced.
+func NewStateMachine(onChange func()) *StateMachine {
+	p := &StateMachine{onChange: onChange, results: make(map[string]*configv1.EditResult)}
 	p.state.Store(NewState())
-	p.checker = config.NewChecker(config.Document{})
+	p.validator = config.NewIncrementalValidator(config.Document{})
 	return p
 }
 
 // State returns the state after the last applied command.
-func (p *Part) State() *State { return p.state.Load() }
+func (p *StateMachine) State() *State { return p.state.Load() }
 
-// Apply implements control.Part. The response is an encoded EditResult.
-func (p *Part) Apply(index uint64, now time.Time, body []byte) []byte {
+// Apply implements control.StateMachine. The response is an encoded EditResult.
+func (p *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
 	var edit configv1.Edit
 	if err := proto.Unmarshal(body, &edit); err != nil {
 		return encodeResult(setInvalid(&configv1.EditResult{}, config.Problem{Path: "$", Reason: "edit cannot be decoded"}))
@@ -55,7 +56,7 @@
 	return encodeResult(p.apply(index, now, &edit, fingerprint(body)))
 }
 
-func (p *Part) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
+func (p *StateMachine) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
 	if stored, ok := p.results[edit.GetId()]; ok {
 		if stored.GetFingerprint() == bodyFingerprint {
 			return stored
@@ -70,7 +71,7 @@
 	return result
 }
 
-func (p *Part) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
+func (p *StateMachine) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
 	if problems := validateEdit(edit); len(problems) > 0 {
 		setInvalid(result, problems...)
 		return
@@ -84,7 +85,7 @@
 	change := &configv1.Change{Revision: index, Previous: current.Revision, TimeMs: now.UnixMilli(), Edit: edit}
 	next, changed, problems := current.merge(change, decodeAndCheckSchema)
 	if len(problems) == 0 {
-		problems = p.checker.Check(current.Document, next.Document, changed)
+		problems = p.validator.Validate(current.Document, next.Document, changed)
 	}
 	if len(problems) > 0 {
 		setInvalid(result, problems...)
@@ -92,7 +93,7 @@
 	}
 	result.Outcome = configv1.Outcome_OUTCOME_ACCEPTED
 	result.Revision = index
-	p.checker.Accept(current.Document, next.Document, changed)
+	p.validator.Apply(current.Document, next.Document, changed)
 	p.state.Store(next)
 	p.onChange()
 }
@@ -107,7 +108,7 @@
 	}
 	seen := make(map[string]bool)
 	for _, s := range edit.GetSections() {
-		if !config.KnownSection(config.Section(s.GetSection())) {
+		if !config.IsSection(config.Section(s.GetSection())) {
 			problems = append(problems, config.Problem{Path: s.GetSection(), Reason: "is not a section of the document"})
 		}
 		if seen[s.GetSection()] {
@@ -136,7 +137,7 @@
 	return conflicts
 }
 
-func (p *Part) storeResult(result *configv1.EditResult) {
+func (p *StateMachine) storeResult(result *configv1.EditResult) {
 	p.results[result.GetEditId()] = result
 	p.resultOrder = append(p.resultOrder, result.GetEditId())
 	if len(p.resultOrder) > MaxResults {
@@ -145,8 +146,8 @@
 	}
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
+// Snapshot implements control.StateMachine.
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	message := p.State().toProto()
 	for _, id := range p.resultOrder {
 		message.Results = append(message.Results, p.results[id])
@@ -154,8 +155,8 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(message)
 }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine.
+func (p *StateMachine) Restore(data []byte) error {
 	var message configv1.State
 	if err := proto.Unmarshal(data, &message); err != nil {
 		return fmt.Errorf("decode configuration snapshot: %w", err)
@@ -169,7 +170,7 @@
 	for _, result := range message.GetResults() {
 		p.storeResult(result)
 	}
-	p.checker = config.NewChecker(state.Document)
+	p.validator = config.NewIncrementalValidator(state.Document)
 	p.state.Store(state)
 	p.onChange()
 	return nil
--- a/internal/control/sections/part_test.go
+++ b/internal/control/sections/part_test.go
@@ -12,7 +12,7 @@
 
 var applyTime = time.UnixMilli(1_700_000_000_000)
 
-func newPart() *Part { return NewPart(func() {}) }
+func newPart() *StateMachine { return NewStateMachine(func() {}) }
 
 func testDocument(workspaces int) config.Document {
 	d := config.Document{
@@ -32,7 +32,7 @@
 
 func firstEdit(t testing.TB, workspaces int) *configv1.Edit {
 	t.Helper()
-	edit, err := FirstEdit("first", testDocument(workspaces))
+	edit, err := InitialEdit("first", testDocument(workspaces))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	return &configv1.Edit{Id: id, Sections: []*configv1.SectionEdit{{Section: "rates", BaseRevision: base, Patch: []byte(patch)}}}
 }
 
-func apply(t testing.TB, p *Part, index uint64, edit *configv1.Edit) *configv1.EditResult {
+func apply(t testing.TB, p *StateMachine, index uint64, edit *configv1.Edit) *configv1.EditResult {
 	t.Helper()
 	body, err := proto.Marshal(edit)
 	if err != nil {
@@ -96,7 +96,7 @@
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []*Part{p, restored} {
+	for _, part := range []*StateMachine{p, restored} {
 		if again := apply(t, part, 8, rateEdit("a", 5, "workspace-0000", 10)); !proto.Equal(again, accepted) {
 			t.Fatalf("retry of the accepted edit returned %v, want %v", again, accepted)
 		}
--- a/internal/control/sections/state.go
+++ b/internal/control/sections/state.go
@@ -31,7 +31,7 @@
 	// EditID is the ID of that edit.
 	EditID string
 	// Contents holds the members of the section as raw JSON.
-	Contents config.Contents
+	Contents config.RawSection
 }
 
 // State is the document at one revision, with the history that led to it. Its
@@ -125,7 +125,7 @@
 	}
 	var problems []config.Problem
 	if level == decodeAndCheckSchema {
-		if problems = config.CheckMembers(name, contents, changed); len(problems) > 0 {
+		if problems = config.ValidateMembers(name, contents, changed); len(problems) > 0 {
 			return changed, problems
 		}
 	}
@@ -174,9 +174,9 @@
 // modify them.
 func (s *State) History() []*configv1.Change { return s.history }
 
-// FirstEdit returns the edit that creates document d from the empty state.
-func FirstEdit(id string, d config.Document) (*configv1.Edit, error) {
-	raw, err := d.Split()
+// InitialEdit returns the edit that creates document d from the empty state.
+func InitialEdit(id string, d config.Document) (*configv1.Edit, error) {
+	raw, err := d.RawSections()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/access_test.go
+++ b/internal/daemon/access_test.go
@@ -17,7 +17,7 @@
 	grade := document.Routes["grade"]
 	grade.Workspaces = []string{"yards"}
 	document.Routes["grade"] = grade
-	document.Workspaces["other"] = config.Workspace{Keys: []config.Key{{ID: "k", SHA256: keys.Sum(otherKey).String()}}}
+	document.Workspaces["other"] = config.Workspace{Keys: []config.Key{{ID: "k", SHA256: keys.HashKey(otherKey).String()}}}
 	document.Rates["other"] = document.Rates["yards"]
 	vm := startVM(t, "muc-a", document)
 	engine := startEngine(t, "e1", false, vm)
@@ -45,7 +45,7 @@
 			t.Errorf("%s: the model is listed", c.desc)
 		}
 	}
-	if n := engine.Started(); n != 0 {
+	if n := engine.RequestCount(); n != 0 {
 		t.Errorf("the engine started %d requests, want none", n)
 	}
 	if got := ask(t, vm, "dossier", 5, nil); !got.complete() {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -79,7 +79,7 @@
 
 // WithdrawKeys implements adminv1.AdminService.
 func (s adminServer) WithdrawKeys(ctx context.Context, req *adminv1.WithdrawKeysRequest) (*adminv1.WithdrawKeysResponse, error) {
-	hashes, err := keyset.FromBytes(req.GetHashes())
+	hashes, err := keyset.DecodeHashes(req.GetHashes())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("hashes", err.Error())
 	}
@@ -128,7 +128,7 @@
 		Revision: own.GetConfigRevision(),
 		Targets:  s.countTargets(),
 	}
-	self := peer{s.node.settings.VM, own.GetZone(), own.GetRegion(), s.node.settings.PeerAddress, s.node.settings.Voter()}
+	self := peer{s.node.settings.VM, own.GetZone(), own.GetRegion(), s.node.settings.PeerAddress, s.node.settings.IsInitialVoter()}
 	response.Vms = append(s.collectVMStatus(ctx), vmStatus(self, own))
 	if response.Leader == "" {
 		response.Leader = leaderReportedByVoters(response.Vms)
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -33,7 +33,7 @@
 	b.Helper()
 	e, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{
 		ID: "e1", Zone: "muc-a", Region: "oberbayern", Model: testModel, Version: "v1",
-		TokenInterval: interval, BatchSlots: benchSlots, Announce: announceTo([]*testVM{vm}),
+		TokenInterval: interval, BatchSlots: benchSlots, AnnounceURLs: announceTo([]*testVM{vm}),
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/daemon/broadcast.go
+++ b/internal/daemon/broadcast.go
@@ -32,14 +32,14 @@
 			continue
 		}
 		known[m.VM] = true
-		_, voter := n.settings.Voters[m.VM]
+		_, voter := n.settings.InitialVoters[m.VM]
 		p := peer{m.VM, m.Zone, m.Region, m.PeerAddress, voter || m.Voter}
 		peers = append(peers, p)
 		if p.voter {
 			n.seenVoters.Store(p.vm, p)
 		}
 	}
-	for vm, address := range n.settings.Voters {
+	for vm, address := range n.settings.InitialVoters {
 		if known[vm] {
 			continue
 		}
--- a/internal/daemon/cachereader.go
+++ b/internal/daemon/cachereader.go
@@ -33,8 +33,8 @@
 	ref    target.Ref
 	url    string
 	cancel context.CancelFunc
-	// forwarder is nil until the first snapshot has been read.
-	forwarder *prefix.Forwarder
+	// partitioner is nil until the first snapshot has been read.
+	partitioner *prefix.EventPartitioner
 	// lastSequence is the sequence number up to which events have been read; 0
 	// requests a snapshot.
 	lastSequence uint64
@@ -86,16 +86,16 @@
 // contents must be read again as a snapshot.
 func (c *cacheReader) forward(ctx context.Context, answer targethttp.CacheEvents) bool {
 	if answer.Snapshot {
-		c.lastSequence = answer.Through
-		c.forwarder = prefix.NewForwarder(c.ref, rand.Uint64(), c.index.peers.Load().owners)
-		return c.index.publish(ctx, c.forwarder.Snapshot(answer.Events))
+		c.lastSequence = answer.LastSequence
+		c.partitioner = prefix.NewEventPartitioner(c.ref, rand.Uint64(), c.index.peers.Load().owners)
+		return c.index.publish(ctx, c.partitioner.SnapshotBatches(answer.Events))
 	}
-	if c.forwarder == nil || !c.contiguous(answer) {
+	if c.partitioner == nil || !c.contiguous(answer) {
 		c.reportGap(ctx)
 		return false
 	}
-	c.lastSequence = answer.Through
-	return c.index.publish(ctx, c.forwarder.Split(answer.Events))
+	c.lastSequence = answer.LastSequence
+	return c.index.publish(ctx, c.partitioner.Partition(answer.Events))
 }
 
 // contiguous reports whether the events follow lastSequence without a gap.
@@ -107,18 +107,18 @@
 		}
 		next++
 	}
-	return answer.Through+1 == next
+	return answer.LastSequence+1 == next
 }
 
 // reportGap marks the entries of the target as uncertain at every owner, once
 // per gap, and makes the next read request a snapshot.
 func (c *cacheReader) reportGap(ctx context.Context) {
-	if c.lastSequence != 0 && c.forwarder != nil {
+	if c.lastSequence != 0 && c.partitioner != nil {
 		c.index.node.logger.Info("gap in cache events of target; requesting a snapshot", zap.String("target", c.ref.ID))
-		c.index.publish(ctx, c.forwarder.Gap())
+		c.index.publish(ctx, c.partitioner.GapBatches())
 	}
 	c.lastSequence = 0
-	c.forwarder = nil
+	c.partitioner = nil
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -24,26 +24,26 @@
 )
 
 // testLog replaces the control log with one sequence of commands in memory,
-// which is applied to the parts of every voter.
+// which is applied to the state machines of every voter.
 type testLog struct {
 	mu          sync.Mutex
 	entries     [][]byte
-	machines    map[string]*control.Machine
+	machines    map[string]*control.CompositeStateMachine
 	partitioned map[string]bool
 	// lostAnswers is how many of the next answers are lost after the commit.
 	lostAnswers int
 }
 
 func newTestLog() *testLog {
-	return &testLog{machines: make(map[string]*control.Machine), partitioned: make(map[string]bool)}
+	return &testLog{machines: make(map[string]*control.CompositeStateMachine), partitioned: make(map[string]bool)}
 }
 
 // attach returns the log as vm sees it. A voter first replays all commands.
-func (l *testLog) attach(vm string, voter bool, parts map[control.Kind]control.Part) control.Log {
+func (l *testLog) attach(vm string, voter bool, stateMachines map[control.Kind]control.StateMachine) control.Log {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if voter {
-		m := control.NewMachine(parts)
+		m := control.NewCompositeStateMachine(stateMachines)
 		for i, e := range l.entries {
 			_, _ = m.Apply(uint64(i+1), e)
 		}
@@ -143,10 +143,10 @@
 	s := settings.Settings{
 		VM: vm, Zone: zone, Region: "r", CallerAddress: testAddress(c.t), TargetAddress: testAddress(c.t),
 		PeerAddress: c.peers[vm], GossipAddress: c.gossip[vm], AdminAddress: testAddress(c.t),
-		Voters: make(map[string]string),
+		InitialVoters: make(map[string]string),
 	}
 	for j := range c.voters {
-		s.Voters[vmName(j)] = c.peers[vmName(j)]
+		s.InitialVoters[vmName(j)] = c.peers[vmName(j)]
 	}
 	for name, address := range c.gossip {
 		if name != vm {
@@ -169,8 +169,8 @@
 		ListenPacket: func(address string) (net.PacketConn, error) { return c.listenPacket(s.VM, address) },
 	}
 	if c.log != nil {
-		options.NewLog = func(parts map[control.Kind]control.Part) control.Log {
-			return c.log.attach(s.VM, s.Voter(), parts)
+		options.NewLog = func(stateMachines map[control.Kind]control.StateMachine) control.Log {
+			return c.log.attach(s.VM, s.IsInitialVoter(), stateMachines)
 		}
 	}
 	n, err := Start(s, options)
@@ -258,7 +258,7 @@
 // testAddress returns a loopback address that is free for both TCP and UDP.
 func testAddress(t testing.TB) string {
 	t.Helper()
-	address, err := loopback.Address()
+	address, err := loopback.AllocateAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -289,7 +289,7 @@
 
 func applyFirst(t testing.TB, n *Node, d config.Document) *adminv1.ApplyConfigResponse {
 	t.Helper()
-	edit, err := sections.FirstEdit("first", d)
+	edit, err := sections.InitialEdit("first", d)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/configedit.go
+++ b/internal/daemon/configedit.go
@@ -232,7 +232,7 @@
 	if err != nil {
 		return nil, err
 	}
-	edit, err := sections.FirstEdit("", *document)
+	edit, err := sections.InitialEdit("", *document)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/controllog.go
+++ b/internal/daemon/controllog.go
@@ -17,14 +17,14 @@
 
 // startControlLog opens the control log. A voter, or a VM with a data folder,
 // which may become a voter, runs a replica; all other VMs forward to the
-// voters. Steps that register replicated parts must run before this one.
+// voters. Steps that register state machines must run before this one.
 func (n *Node) startControlLog() error {
 	if n.options.NewLog != nil {
-		n.log = n.options.NewLog(n.parts)
+		n.log = n.options.NewLog(n.stateMachines)
 		return nil
 	}
 	log := &replica.Log{
-		Voters: raft.NewVoters(n.settings.Voters),
+		Voters: raft.NewVoters(n.settings.InitialVoters),
 		URL:    n.peerURL,
 		Client: n.peerClient,
 	}
@@ -34,19 +34,19 @@
 		return nil
 	}
 	config := replica.Config{
-		ID:     n.settings.VM,
-		Folder: n.settings.DataFolder,
-		Parts:  n.parts,
-		Transport: &replica.Peers{
+		ID:            n.settings.VM,
+		Folder:        n.settings.DataFolder,
+		StateMachines: n.stateMachines,
+		Transport: &replica.TwirpTransport{
 			Self:   n.settings.PeerAddress,
 			URL:    n.peerURL,
 			Client: n.peerClient,
-			Start:  n.background,
+			Go:     n.background,
 		},
 		Clock:    n.clock,
 		OnChange: n.logReplicaStatus,
 	}
-	if n.settings.Voter() {
+	if n.settings.IsInitialVoter() {
 		config.Bootstrap = log.Voters
 	}
 	r, err := replica.Open(config)
@@ -77,7 +77,7 @@
 		logService := raftv1.NewLogServiceServer(server)
 		n.peerMux.Handle(logService.PathPrefix(), logService)
 	}
-	admin := raftv1.NewLogServiceServer(replica.Forwarder{Log: log, VM: n.settings.VM})
+	admin := raftv1.NewLogServiceServer(replica.ForwardingServer{Log: log, VM: n.settings.VM})
 	n.adminMux.Handle(admin.PathPrefix(), admin)
 }
 
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -36,8 +36,8 @@
 // distribution maintains the active configuration of one VM. Voters take it
 // from the applied log; other VMs pull it.
 type distribution struct {
-	node *Node
-	part *sections.Part
+	node         *Node
+	stateMachine *sections.StateMachine
 	// contact records the last contact with control VMs.
 	contact controlContact
 
@@ -64,7 +64,7 @@
 // revisions.
 const maxPendingHints = 16
 
-// startConfig registers the configuration as a replicated part and activates
+// startConfig registers the configuration as a state machine and activates
 // the configuration stored in the data folder.
 func (n *Node) startConfig() error {
 	d := &distribution{
@@ -75,8 +75,8 @@
 		hints:           make(chan hint, maxPendingHints),
 	}
 	d.state.Store(sections.NewState())
-	d.part = sections.NewPart(func() { signal(d.applied) })
-	n.parts[control.KindConfig] = d.part
+	d.stateMachine = sections.NewStateMachine(func() { signal(d.applied) })
+	n.stateMachines[control.KindConfig] = d.stateMachine
 	n.distribution = d
 	d.loadFile()
 	service := configv1.NewConfigServiceServer(configServer{d})
@@ -161,7 +161,7 @@
 			return
 		case <-d.applied:
 		}
-		if d.activate(d.part.State()) {
+		if d.activate(d.stateMachine.State()) {
 			signal(d.notifyDue)
 		}
 	}
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -147,7 +147,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, ok := voter.distribution.part.State().Since(base); !ok {
+	if _, ok := voter.distribution.stateMachine.State().Since(base); !ok {
 		t.Fatal("the history does not cover the revision of the isolated VM")
 	}
 	c.partition(2, false)
@@ -208,15 +208,15 @@
 	if got := b.Snapshot().Document.Rates["yards"].RateTokensPerSecond; got != 77 {
 		t.Fatalf("rate is %v after the restart, want 77 as in the later edit", got)
 	}
-	if len(a.distribution.part.State().History()) != 2 {
-		t.Fatalf("%d edits were accepted, want 2", len(a.distribution.part.State().History()))
+	if len(a.distribution.stateMachine.State().History()) != 2 {
+		t.Fatalf("%d edits were accepted, want 2", len(a.distribution.stateMachine.State().History()))
 	}
 }
 
 // Guards against an initial edit whose document differs from the document file.
 func TestFirstEditGivesSameDocument(t *testing.T) {
 	want := clusterDocument(config.UnconfirmedRefuse)
-	edit, err := sections.FirstEdit("first", want)
+	edit, err := sections.InitialEdit("first", want)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/e2e_test.go
+++ b/internal/daemon/e2e_test.go
@@ -44,7 +44,7 @@
 	defer restarted.Close()
 	await(t, "requests at the restarted engine", func() bool {
 		ask(t, vms[1], "dossier", 1, nil)
-		return restarted.Started() > 0
+		return restarted.RequestCount() > 0
 	})
 }
 
--- a/internal/daemon/examples_test.go
+++ b/internal/daemon/examples_test.go
@@ -42,9 +42,9 @@
 		for i := range s.Join {
 			move(&s.Join[i])
 		}
-		for vm, address := range s.Voters {
+		for vm, address := range s.InitialVoters {
 			move(&address)
-			s.Voters[vm] = address
+			s.InitialVoters[vm] = address
 		}
 		if s.DataFolder != "" {
 			s.DataFolder = t.TempDir()
@@ -97,8 +97,8 @@
 				t.Errorf("%s: zone, region or slot of VM %s do not match the document", name, s.VM)
 			}
 			slots[slot] = true
-			if len(s.Voters) != 3 {
-				t.Errorf("%s: VM %s has %d voters, want 3", name, s.VM, len(s.Voters))
+			if len(s.InitialVoters) != 3 {
+				t.Errorf("%s: VM %s has %d voters, want 3", name, s.VM, len(s.InitialVoters))
 			}
 		}
 		if len(slots) != 9 {
@@ -178,7 +178,7 @@
 	nodes := startExample(t, "zielnik")
 	base := awaitExample(t, nodes)
 	asked := nodes[8]
-	if asked.settings.Voter() {
+	if asked.settings.IsInitialVoter() {
 		t.Fatal("the VM that is asked must not be a voter")
 	}
 	edit := rateEdit("kept", base, 4242)
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -30,7 +30,7 @@
 func testDocument() config.Document {
 	return config.Document{
 		Models:     map[string]config.Model{testModel: {ServingVersion: "v1"}},
-		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.Sum(testKey).String()}}}},
+		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.HashKey(testKey).String()}}}},
 		Rates:      map[string]config.Rate{"yards": {RateTokensPerSecond: 1e6, BurstTokens: 1e6, MaxWaitMS: 10000}},
 		Routes: map[string]config.Route{
 			"grade":  {Kind: config.KindModel, Model: testModel, MaxAttempts: 6, FirstTokenTimeoutMS: 2000, TokenGapTimeoutMS: 1000, TimeoutMS: 60000},
@@ -73,7 +73,7 @@
 	all := make([]settings.Settings, len(zones))
 	voters := make(map[string]string)
 	for i, zone := range zones {
-		s := settings.Settings{VM: fmt.Sprintf("vm-%d", i+1), Zone: zone, Region: "oberbayern", Slot: i, DataFolder: t.TempDir(), Voters: voters}
+		s := settings.Settings{VM: fmt.Sprintf("vm-%d", i+1), Zone: zone, Region: "oberbayern", Slot: i, DataFolder: t.TempDir(), InitialVoters: voters}
 		for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
 			*a = testAddress(t)
 		}
@@ -101,7 +101,7 @@
 	t.Helper()
 	e, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{
 		ID: id, Zone: "muc-a", Region: "oberbayern", Model: testModel, Version: "v1",
-		TokenInterval: time.Millisecond, BatchSlots: 8, HTTP2: http2, Announce: announceTo(vms),
+		TokenInterval: time.Millisecond, BatchSlots: 8, HTTP2: http2, AnnounceURLs: announceTo(vms),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/indexrpc.go
+++ b/internal/daemon/indexrpc.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Lookup implements routing.Lookup. It asks the owner of the chain.
+// Lookup implements routing.OwnerLookup. It asks the owner of the chain.
 func (r *regionIndex) Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
 	peers := r.peers.Load()
 	owner := peers.owners.Owner(chain[0])
@@ -133,7 +133,7 @@
 // coalesce waits while another request for the same uncached prefix is being
 // placed.
 func (r *regionIndex) coalesce(ctx context.Context, chain []prefix.Hash) {
-	placed := r.intents.Begin(chain, r.local.Longest(chain), r.node.clock())
+	placed := r.coalescer.Begin(chain, r.local.LongestMatch(chain), r.node.clock())
 	if placed == nil {
 		return
 	}
@@ -204,7 +204,7 @@
 func (s indexServer) applyDispatch(d *indexv1.Dispatch) {
 	ref := decodeRef(d.Target)
 	if !d.Failed {
-		s.index.picker.Elsewhere(ref, time.Duration(d.WorkUs)*time.Microsecond)
+		s.index.picker.AddPeerDispatch(ref, time.Duration(d.WorkUs)*time.Microsecond)
 	}
 	if len(d.Blocks) == 0 || len(d.Blocks) > prefix.MaxBlocks {
 		return
@@ -215,7 +215,7 @@
 		return
 	}
 	s.index.local.Predict(ref, chain, int(d.Held))
-	s.index.intents.Placed(chain)
+	s.index.coalescer.Complete(chain)
 }
 
 // applyLoads passes load reports from other zones to the picker.
@@ -226,7 +226,7 @@
 	}
 	for _, l := range loads {
 		load := target.Load{Running: int(l.Running), Waiting: int(l.Waiting), QueuedPrefillTokens: int(l.QueuedPrefillTokens)}
-		s.index.picker.Report(decodeRef(l.Target), load, snap)
+		s.index.picker.ApplyLoadReport(decodeRef(l.Target), load, snap)
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 func encodeBatch(b prefix.Batch) *indexv1.Batch {
-	out := &indexv1.Batch{Target: encodeRef(b.Ref), Stream: b.Stream, Reset_: b.Reset, Through: b.Through}
+	out := &indexv1.Batch{Target: encodeRef(b.Ref), Stream: b.Stream, Reset_: b.Reset, Through: b.LastSequence}
 	for _, e := range b.Events {
 		kind := indexv1.EventKind_EVENT_KIND_STORED
 		if e.Kind == prefix.Evicted {
@@ -278,7 +278,7 @@
 }
 
 func decodeBatch(b *indexv1.Batch) prefix.Batch {
-	out := prefix.Batch{Ref: decodeRef(b.Target), Stream: b.Stream, Reset: b.Reset_, Through: b.Through}
+	out := prefix.Batch{Ref: decodeRef(b.Target), Stream: b.Stream, Reset: b.Reset_, LastSequence: b.Through}
 	for _, e := range b.Events {
 		kind := prefix.Stored
 		if e.Kind == indexv1.EventKind_EVENT_KIND_EVICTED {
--- a/internal/daemon/keylease.go
+++ b/internal/daemon/keylease.go
@@ -61,11 +61,11 @@
 	d.refreshFromVoters(ctx)
 }
 
-// followsLog reports whether the replicated parts of this VM are updated from
+// followsLog reports whether the state machines of this VM are updated from
 // the log.
 func (n *Node) followsLog() bool {
 	if n.replica == nil {
-		return n.settings.Voter()
+		return n.settings.IsInitialVoter()
 	}
 	status := n.replica.Status()
 	_, member := status.Members.Find(status.ID)
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -56,10 +56,10 @@
 			t.Errorf("%s: status %d, %q", c.name, status, header.Get("Cuminwing-Run"))
 		}
 	}
-	if engine.Started() != 0 {
-		t.Errorf("%d requests above a limit reached the engine", engine.Started())
+	if engine.RequestCount() != 0 {
+		t.Errorf("%d requests above a limit reached the engine", engine.RequestCount())
 	}
-	engine.SetFaults(standin.Faults{StallAfter: 1})
+	engine.SetFaults(standin.EngineFaults{StallAfterTokens: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	for range 2 {
@@ -139,7 +139,7 @@
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
 		*a = testAddress(t)
 	}
-	s.Voters = map[string]string{s.VM: s.PeerAddress}
+	s.InitialVoters = map[string]string{s.VM: s.PeerAddress}
 	writeJSONFile(t, s.DocumentFile, testDocument())
 	writeJSONFile(t, filepath.Join(folder, "settings.json"), s)
 	var logs bytes.Buffer
@@ -159,7 +159,7 @@
 		return err == nil && resp.StatusCode == http.StatusOK
 	}
 	await(t, "ready daemon", ready)
-	engine, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{ID: "e1", Zone: "muc-a", Region: "oberbayern", Model: testModel, Version: "v1", TokenInterval: 5 * time.Millisecond, BatchSlots: 8, Announce: announceTo([]*testVM{vm})})
+	engine, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{ID: "e1", Zone: "muc-a", Region: "oberbayern", Model: testModel, Version: "v1", TokenInterval: 5 * time.Millisecond, BatchSlots: 8, AnnounceURLs: announceTo([]*testVM{vm})})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/logs_test.go
+++ b/internal/daemon/logs_test.go
@@ -18,7 +18,7 @@
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
 		*a = testAddress(t)
 	}
-	s.Voters = map[string]string{s.VM: s.PeerAddress}
+	s.InitialVoters = map[string]string{s.VM: s.PeerAddress}
 	node, err := Start(s, Options{Logger: zap.New(core), Document: &document})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -46,8 +46,8 @@
 	// LeastOutstanding replaces prefix-aware routing with least-outstanding
 	// routing, the baseline in benchmarks.
 	LeastOutstanding bool
-	// NewLog replaces the control log. It receives the replicated parts of the VM.
-	NewLog func(parts map[control.Kind]control.Part) control.Log
+	// NewLog replaces the control log. It receives the state machines of the VM.
+	NewLog func(stateMachines map[control.Kind]control.StateMachine) control.Log
 }
 
 // Node is a running VM.
@@ -59,11 +59,11 @@
 	incarnation uint64
 
 	snapshot  atomic.Pointer[config.Snapshot]
-	withdrawn *keys.Withdrawn
+	withdrawn *keys.WithdrawnSet
 	registry  *target.Registry
 	gossip    *gossip.Conn
 	ledger    *usage.Ledger
-	orders    *orders.Part
+	orders    *orders.StateMachine
 	callers   *callerhttp.Server
 
 	distribution *distribution
@@ -73,13 +73,13 @@
 	// regionIndex is the share of this VM in the prefix index of the region.
 	regionIndex *regionIndex
 
-	// parts are the replicated state machines; each subsystem registers its own
-	// before startControlLog runs. log is nil until startControlLog has opened
-	// it.
-	parts    map[control.Kind]control.Part
-	log      control.Log
-	rates    *rateLimiter
-	observer *observer
+	// stateMachines are the replicated state machines; each subsystem registers
+	// its own before startControlLog runs. log is nil until startControlLog has
+	// opened it.
+	stateMachines map[control.Kind]control.StateMachine
+	log           control.Log
+	rates         *rateLimiter
+	observer      *observer
 	// replica is nil on a VM without a data folder.
 	replica *replica.Replica
 
@@ -146,18 +146,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
-		settings:    s,
-		options:     options,
-		logger:      options.Logger,
-		clock:       options.Clock,
-		incarnation: uint64(options.Clock().UnixMicro()),
-		withdrawn:   keys.NewWithdrawn(),
-		registry:    target.NewRegistry(),
-		parts:       make(map[control.Kind]control.Part),
-		peerMux:     http.NewServeMux(),
-		adminMux:    http.NewServeMux(),
-		ctx:         ctx,
-		cancel:      cancel,
+		settings:      s,
+		options:       options,
+		logger:        options.Logger,
+		clock:         options.Clock,
+		incarnation:   uint64(options.Clock().UnixMicro()),
+		withdrawn:     keys.NewWithdrawnSet(),
+		registry:      target.NewRegistry(),
+		stateMachines: make(map[control.Kind]control.StateMachine),
+		peerMux:       http.NewServeMux(),
+		adminMux:      http.NewServeMux(),
+		ctx:           ctx,
+		cancel:        cancel,
 	}
 	n.peerClient = &http.Client{Transport: &http.Transport{
 		DialContext:         options.Dial,
@@ -189,7 +189,7 @@
 		GossipAddress: n.settings.GossipAddress,
 		AdminAddress:  n.settings.AdminAddress,
 		TargetAddress: n.settings.TargetAddress,
-		Voter:         n.settings.Voter(),
+		Voter:         n.settings.IsInitialVoter(),
 		Incarnation:   n.incarnation,
 		KeyDigest:     n.withdrawn.Digest(),
 	}
@@ -252,7 +252,7 @@
 // until requests in flight have ended or ctx ends, and stops the VM.
 func (n *Node) Shutdown(ctx context.Context) error {
 	n.draining.Store(true)
-	n.logger.Info("VM is shutting down", zap.Int64("running_requests", n.callers.Active()))
+	n.logger.Info("VM is shutting down", zap.Int64("running_requests", n.callers.ActiveRequests()))
 	n.leaveMembership()
 	select {
 	case <-ctx.Done():
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -68,7 +68,7 @@
 
 func (o *observer) registerGauges() {
 	n := o.node
-	o.metrics.Gauge("running_requests", func() any { return n.callers.Active() })
+	o.metrics.Gauge("running_requests", func() any { return n.callers.ActiveRequests() })
 	o.metrics.Gauge("config_revision", func() any { return n.self().ConfigRevision })
 	o.metrics.Gauge("live_vms", func() any { return len(n.members()) })
 	o.metrics.Gauge("targets", func() any { return len(n.registry.All()) })
@@ -174,9 +174,9 @@
 // Counter returns the value of a metric counter of this VM.
 func (n *Node) Counter(name string) int64 { return n.observer.metrics.Value(name) }
 
-// Knows reports whether this VM sees at least the given numbers of live VMs and
-// usable targets and a leader of the control log.
-func (n *Node) Knows(vms, targets int) bool {
+// SeesAtLeast reports whether this VM sees at least the given numbers of live
+// VMs and usable targets and a leader of the control log.
+func (n *Node) SeesAtLeast(vms, targets int) bool {
 	usable := 0
 	for _, t := range n.registry.All() {
 		if t.Usable(n.clock()) {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -32,21 +32,21 @@
 // orderDispatcher plans orders and sends them to targets while this VM leads
 // the control log.
 type orderDispatcher struct {
-	node   *Node
-	part   *orders.Part
-	client *http.Client
-	lease  orders.Lease
+	node         *Node
+	stateMachine *orders.StateMachine
+	client       *http.Client
+	lease        orders.Lease
 	// leaseRenewed is when the lease was last acquired or renewed.
 	leaseRenewed time.Time
 	// acceptedAt records when the target last accepted an order, by order ID.
 	acceptedAt map[string]time.Time
 }
 
-// startOrders registers the order state as a replicated part. It must run
+// startOrders registers the order state as a state machine. It must run
 // before startControlLog.
 func (n *Node) startOrders() error {
-	n.orders = orders.NewPart()
-	n.parts[control.KindOrders] = n.orders
+	n.orders = orders.NewStateMachine()
+	n.stateMachines[control.KindOrders] = n.orders
 	return nil
 }
 
@@ -54,10 +54,10 @@
 // startControlLog.
 func (n *Node) startOrderDispatcher() error {
 	o := &orderDispatcher{
-		node:       n,
-		part:       n.orders,
-		client:     &http.Client{Transport: &http.Transport{DialContext: n.options.Dial, IdleConnTimeout: peerIdleTimeout}},
-		acceptedAt: make(map[string]time.Time),
+		node:         n,
+		stateMachine: n.orders,
+		client:       &http.Client{Transport: &http.Transport{DialContext: n.options.Dial, IdleConnTimeout: peerIdleTimeout}},
+		acceptedAt:   make(map[string]time.Time),
 	}
 	n.background(func(ctx context.Context) {
 		every(ctx, orderRoundInterval, func() { o.step(ctx) })
@@ -77,7 +77,7 @@
 		o.node.logger.Info("failed to acquire or renew the order lease", zap.Error(err))
 		return
 	}
-	plan := orders.Next(o.node.registry.All(), snapshot.Document.Models, o.part.State(), o.node.clock())
+	plan := orders.NextPlan(o.node.registry.All(), snapshot.Document.Models, o.stateMachine.State(), o.node.clock())
 	if err := o.commitPlan(ctx, plan); err != nil {
 		o.node.logger.Info("failed to commit the order plan", zap.Error(err))
 		return
@@ -99,7 +99,7 @@
 	if !o.lease.Holds(sent) {
 		o.dropLease()
 	}
-	request := &ordersv1.Acquire{Vm: o.node.settings.VM, Incarnation: o.node.incarnation, Fence: o.lease.Fence}
+	request := &ordersv1.Acquire{Vm: o.node.settings.VM, Incarnation: o.node.incarnation, Fence: o.lease.FencingToken}
 	answer, err := o.propose(ctx, &ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: request}})
 	if err != nil {
 		return err
@@ -109,18 +109,18 @@
 		return fmt.Errorf("another VM holds the order lease with fencing token %d", answer.GetFence())
 	}
 	o.leaseRenewed = sent
-	if o.lease.Fence != 0 {
+	if o.lease.FencingToken != 0 {
 		o.lease.Renew(sent)
 		return nil
 	}
-	o.lease = orders.Take(answer.GetFence(), sent, o.node.clock())
+	o.lease = orders.NewLease(answer.GetFence(), sent, o.node.clock())
 	o.node.logger.Info("order lease taken", zap.Uint64("fence", answer.GetFence()))
 	return nil
 }
 
 // commitPlan commits the plan to the log before any order is sent.
 func (o *orderDispatcher) commitPlan(ctx context.Context, plan orders.Plan) error {
-	fence := o.lease.Fence
+	fence := o.lease.FencingToken
 	var commands []*ordersv1.Command
 	if len(plan.Done) > 0 {
 		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Done, Done: true}}})
@@ -162,7 +162,7 @@
 // sendAll delivers the open orders. Their number is limited by the concurrent
 // loads that the models allow.
 func (o *orderDispatcher) sendAll(ctx context.Context) {
-	for _, open := range o.part.State().Open() {
+	for _, open := range o.stateMachine.State().OpenOrders() {
 		t, known := o.node.registry.Get(open.GetTarget())
 		if !known || t.Incarnation != open.GetIncarnation() || !o.shouldSend(open, t) {
 			continue
@@ -189,20 +189,20 @@
 	if !o.lease.Holds(now.Add(orderTimeout)) || !o.node.log.HoldsLease() {
 		return false
 	}
-	return t.Capabilities.Fencing || o.lease.HoldsAlone(now)
+	return t.Capabilities.Fencing || o.lease.IsExclusive(now)
 }
 
 func (o *orderDispatcher) send(ctx context.Context, open *ordersv1.Order, t *target.Target) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return targethttp.SendOrder(ctx, o.client, t, targethttp.Order{
-		OrderID:  open.GetId(),
-		Fence:    o.lease.Fence,
-		Kind:     open.GetKind(),
-		Model:    open.GetModel(),
-		Version:  open.GetVersion(),
-		Adapters: open.GetAdapters(),
-		Role:     open.GetRole(),
+		OrderID:      open.GetId(),
+		FencingToken: o.lease.FencingToken,
+		Kind:         open.GetKind(),
+		Model:        open.GetModel(),
+		Version:      open.GetVersion(),
+		Adapters:     open.GetAdapters(),
+		Role:         open.GetRole(),
 	})
 }
 
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -21,7 +21,7 @@
 	for i, id := range []string{"e-1", "e-2", "e-3", "e-4"} {
 		e, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{
 			ID: id, Zone: "muc-a", Region: "oberbayern", Model: testModel, Version: "v1",
-			BatchSlots: 8, Announce: announceTo(vms), Orders: standin.OrderOptions{Fencing: i%2 == 0},
+			BatchSlots: 8, AnnounceURLs: announceTo(vms), OrderHandling: standin.OrderOptions{Fencing: i%2 == 0},
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 	time.Sleep(2 * orders.RenewInterval)
 	loads := 0
 	for _, e := range engines {
-		loads += e.Loads()
+		loads += e.LoadCount()
 	}
 	if loads != 2 || holding(survivor) != 2 {
 		t.Fatalf("%d loads and %d engines on v2, want 2 and 2 of 4 engines", loads, holding(survivor))
--- a/internal/daemon/peertls.go
+++ b/internal/daemon/peertls.go
@@ -28,7 +28,7 @@
 	}
 	n.peerTLS = source.ServerConfig()
 	transport := n.peerClient.Transport.(*http.Transport)
-	transport.DialTLSContext = source.Dial(n.options.Dial)
+	transport.DialTLSContext = source.WrapDial(n.options.Dial)
 	return nil
 }
 
@@ -36,7 +36,7 @@
 // that is not a member yet is accepted, because VMs call each other before
 // gossip has spread the membership.
 func (n *Node) verifyPeer(id peertls.Identity, address netip.AddrPort, dialed bool) error {
-	for vm, voter := range n.settings.Voters {
+	for vm, voter := range n.settings.InitialVoters {
 		if dialed && voter == address.String() && vm != id.VM {
 			return errPeerAddressMismatch
 		}
--- a/internal/daemon/peertls_test.go
+++ b/internal/daemon/peertls_test.go
@@ -53,7 +53,7 @@
 	var all []settings.Settings
 	var join []string
 	for i := range 3 {
-		s := settings.Settings{VM: fmt.Sprintf("vm-%d", i+1), Zone: "muc-a", Region: "oberbayern", Slot: i, Voters: voters}
+		s := settings.Settings{VM: fmt.Sprintf("vm-%d", i+1), Zone: "muc-a", Region: "oberbayern", Slot: i, InitialVoters: voters}
 		for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
 			*a = testAddress(t)
 		}
--- a/internal/daemon/picker.go
+++ b/internal/daemon/picker.go
@@ -47,8 +47,8 @@
 
 // startClaims registers the claims of at-most-once requests as a replicated
 // part and returns a client for them.
-func (n *Node) startClaims() serving.Claims {
-	n.parts[control.KindClaims] = idempotency.NewPart()
+func (n *Node) startClaims() serving.ClaimStore {
+	n.stateMachines[control.KindClaims] = idempotency.NewStateMachine()
 	return &idempotency.Client{
 		Log:        func() control.Log { return n.log },
 		Pause:      pause.For,
--- a/internal/daemon/ratecodec.go
+++ b/internal/daemon/ratecodec.go
@@ -19,12 +19,12 @@
 		request.Items = append(request.Items, &ratev1.AcquireItem{
 			Workspace:     item.Workspace,
 			Outstanding:   item.Outstanding,
-			First:         item.First,
-			GivenBack:     item.GivenBack,
-			Need:          item.Need,
+			First:         item.FirstShortfall,
+			GivenBack:     item.ReturnedTokens,
+			Need:          item.TotalShortfall,
 			Prefetch:      item.Prefetch,
-			Returned:      item.Returned,
-			ReturnedAgeMs: ceilMilliseconds(item.ReturnedAge),
+			Returned:      item.Refund,
+			ReturnedAgeMs: ceilMilliseconds(item.RefundAge),
 		})
 	}
 	return request
@@ -39,14 +39,14 @@
 	}
 	for _, item := range request.GetItems() {
 		report.Items = append(report.Items, ratelimit.ReportItem{
-			Workspace:   item.GetWorkspace(),
-			Outstanding: item.GetOutstanding(),
-			First:       item.GetFirst(),
-			GivenBack:   item.GetGivenBack(),
-			Need:        item.GetNeed(),
-			Prefetch:    item.GetPrefetch(),
-			Returned:    item.GetReturned(),
-			ReturnedAge: time.Duration(item.GetReturnedAgeMs()) * time.Millisecond,
+			Workspace:      item.GetWorkspace(),
+			Outstanding:    item.GetOutstanding(),
+			FirstShortfall: item.GetFirst(),
+			ReturnedTokens: item.GetGivenBack(),
+			TotalShortfall: item.GetNeed(),
+			Prefetch:       item.GetPrefetch(),
+			Refund:         item.GetReturned(),
+			RefundAge:      time.Duration(item.GetReturnedAgeMs()) * time.Millisecond,
 		})
 	}
 	return report
--- a/internal/daemon/rates.go
+++ b/internal/daemon/rates.go
@@ -32,11 +32,11 @@
 // rateLimiter admits requests by the token rate of their workspace.
 type rateLimiter struct {
 	node        *Node
-	local       *ratelimit.Local
+	local       *ratelimit.LocalLimiter
 	waiterAdded chan struct{}
 
 	mu   sync.Mutex
-	root *ratelimit.Root
+	root *ratelimit.RootAllocator
 	term uint64
 }
 
@@ -46,7 +46,7 @@
 	slot := fmt.Sprintf("%s/%d", n.settings.Zone, n.settings.Slot)
 	n.rates = &rateLimiter{
 		node:        n,
-		local:       ratelimit.NewLocal(n.clock(), holder, slot),
+		local:       ratelimit.NewLocalLimiter(n.clock(), holder, slot),
 		waiterAdded: make(chan struct{}, 1),
 	}
 	server := ratev1.NewRateServiceServer(n.rates)
@@ -57,16 +57,16 @@
 
 // Admit implements serving.Limiter.
 func (r *rateLimiter) Admit(ctx context.Context, snap *config.Snapshot, workspace string, tokens int64, maxWait time.Duration) (serving.Reservation, *serving.Refusal) {
-	plan, ok := ratePlan(snap, workspace)
+	limit, ok := rateLimit(snap, workspace)
 	if !ok {
 		return nil, &serving.Refusal{Status: http.StatusForbidden, Code: "no_rate", Message: "the workspace has no rate", Run: serving.NotRun}
 	}
-	if float64(tokens) > plan.Burst {
+	if float64(tokens) > limit.Burst {
 		return nil, &serving.Refusal{Status: http.StatusBadRequest, Code: "request_exceeds_burst", Message: "the request needs more tokens than the workspace's burst", Run: serving.NotRun}
 	}
-	waiter := r.local.Admit(r.node.clock(), workspace, plan, float64(tokens))
+	waiter := r.local.Admit(r.node.clock(), workspace, limit, float64(tokens))
 	if waiter != nil && !r.awaitTokens(ctx, workspace, waiter, maxWait) {
-		return nil, rateRefusal(plan, tokens)
+		return nil, rateRefusal(limit, tokens)
 	}
 	return &reservation{limiter: r, workspace: workspace, admitted: r.node.clock(), charged: tokens}, nil
 }
@@ -89,8 +89,8 @@
 	return !r.local.Cancel(r.node.clock(), workspace, w)
 }
 
-func rateRefusal(plan ratelimit.Plan, tokens int64) *serving.Refusal {
-	wait := time.Duration(float64(tokens) / plan.Rate * float64(time.Second))
+func rateRefusal(limit ratelimit.Limit, tokens int64) *serving.Refusal {
+	wait := time.Duration(float64(tokens) / limit.Rate * float64(time.Second))
 	return &serving.Refusal{
 		Status:     http.StatusTooManyRequests,
 		Code:       "rate_limit_exceeded",
@@ -116,16 +116,16 @@
 	})
 }
 
-func ratePlan(snap *config.Snapshot, workspace string) (ratelimit.Plan, bool) {
+func rateLimit(snap *config.Snapshot, workspace string) (ratelimit.Limit, bool) {
 	rate, ok := snap.Document.Rates[workspace]
 	if !ok {
-		return ratelimit.Plan{}, false
+		return ratelimit.Limit{}, false
 	}
-	return ratelimit.Plan{
+	return ratelimit.Limit{
 		Rate:          rate.RateTokensPerSecond,
 		Burst:         rate.BurstTokens,
 		FloorFraction: rate.FloorFraction,
-		Slots:         snap.Slots(),
+		Slots:         snap.VMSlots(),
 	}, true
 }
 
@@ -151,7 +151,7 @@
 		case <-timer.C:
 		}
 		timer.Stop()
-		r.local.Wake(r.node.clock())
+		r.local.AdmitWaiting(r.node.clock())
 		if time.Since(reported) < r.reportInterval() {
 			active = true
 			continue
@@ -196,7 +196,7 @@
 		return true
 	}
 	r.node.observer.metrics.Add("rate_reports", 1)
-	r.local.Credit(r.node.clock(), report.Sequence, decodeGrants(response.GetGrants()))
+	r.local.ApplyGrants(r.node.clock(), report.Sequence, decodeGrants(response.GetGrants()))
 	return true
 }
 
@@ -215,7 +215,7 @@
 			return m.PeerAddress, true
 		}
 	}
-	address, ok := r.node.settings.Voters[leader]
+	address, ok := r.node.settings.InitialVoters[leader]
 	return address, ok
 }
 
@@ -256,8 +256,8 @@
 	if root == nil || snap == nil {
 		return nil, twirp.NewError(twirp.Unavailable, "this VM does not hold the lease of the control log")
 	}
-	plan := func(workspace string) (ratelimit.Plan, bool) { return ratePlan(snap, workspace) }
-	grants := root.Handle(r.node.clock(), decodeReport(request), plan)
+	limitOf := func(workspace string) (ratelimit.Limit, bool) { return rateLimit(snap, workspace) }
+	grants := root.Handle(r.node.clock(), decodeReport(request), limitOf)
 	if !r.node.log.HoldsLease() {
 		// The lease may have expired while the root handled the report, and a new
 		// leader may already be granting tokens.
@@ -269,7 +269,7 @@
 // currentRoot returns the root for the current leader lease, or nil without a
 // lease. A lease in another term gets a new root, because other leaders may
 // have granted tokens in the meantime.
-func (r *rateLimiter) currentRoot() *ratelimit.Root {
+func (r *rateLimiter) currentRoot() *ratelimit.RootAllocator {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.node.replica == nil || r.node.log == nil || !r.node.log.HoldsLease() {
@@ -278,7 +278,7 @@
 	}
 	term := r.node.replica.Status().Term
 	if r.root == nil || r.term != term {
-		r.root = ratelimit.NewRoot(r.node.clock())
+		r.root = ratelimit.NewRootAllocator(r.node.clock())
 		r.term = term
 	}
 	return r.root
--- a/internal/daemon/restart_bench_test.go
+++ b/internal/daemon/restart_bench_test.go
@@ -31,7 +31,7 @@
 // commitDailyEdits commits the first document and the edits of one day.
 func commitDailyEdits(tb testing.TB, n *Node) uint64 {
 	tb.Helper()
-	edit, err := sections.FirstEdit("first", designDocument())
+	edit, err := sections.InitialEdit("first", designDocument())
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		if _, err := n.propose(context.Background(), control.KindConfig, body); err != nil {
 			tb.Fatal(err)
 		}
-		base = n.distribution.part.State().Revision
+		base = n.distribution.stateMachine.State().Revision
 	}
 	return base
 }
@@ -60,7 +60,7 @@
 // has activated the last edit.
 func BenchmarkRestartVM(b *testing.B) {
 	s := loadExample(b, "verband")[0]
-	s.Voters = map[string]string{s.VM: s.PeerAddress}
+	s.InitialVoters = map[string]string{s.VM: s.PeerAddress}
 	s.DocumentFile = ""
 	n, err := Start(s, Options{})
 	if err != nil {
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -40,12 +40,12 @@
 type regionIndex struct {
 	node *Node
 	// members returns the VMs that share the index.
-	members func() []membership.Member
-	local   *prefix.Index
-	cache   *targethttp.CacheReader
-	picker  *routing.Picker
-	intents *prefix.Intents
-	exports *ring.Ring[routing.Export]
+	members   func() []membership.Member
+	local     *prefix.Index
+	cache     *targethttp.CacheClient
+	picker    *routing.Picker
+	coalescer *prefix.Coalescer
+	exports   *ring.Ring[routing.Export]
 	// lookupTimeout limits the wait for the owner of a chain.
 	lookupTimeout time.Duration
 	// peers holds the current assignment of chains and targets and the clients
@@ -69,36 +69,36 @@
 // targets to the VMs of the zone. The zones of a region share the chains, so
 // that a VM knows the caches of all engines that it may use in its region.
 type indexPeers struct {
-	owners  *prefix.Members
-	readers *prefix.Members
+	owners  *prefix.VMSet
+	readers *prefix.VMSet
 	clients map[string]*indexPeer
 }
 
 // newPicker creates the region index and the prefix-aware picker that uses it.
 func (n *Node) newPicker() *routing.Picker {
 	r := &regionIndex{
-		intents:       prefix.NewIntents(),
+		coalescer:     prefix.NewCoalescer(),
 		exports:       ring.New[routing.Export](maxPendingExports),
 		lookupTimeout: lookupTimeout,
 		node:          n,
 		members:       n.members,
 		local:         prefix.NewIndex(n.clock),
-		cache:         targethttp.NewCacheReader(n.options.Dial),
+		cache:         targethttp.NewCacheClient(n.options.Dial),
 		knownTargets:  make(map[string]target.Ref),
 		readers:       make(map[string]*cacheReader),
 	}
-	r.peers.Store(&indexPeers{owners: prefix.NewMembers(nil), readers: prefix.NewMembers(nil)})
+	r.peers.Store(&indexPeers{owners: prefix.NewVMSet(nil), readers: prefix.NewVMSet(nil)})
 	n.regionIndex = r
 	r.picker = &routing.Picker{
-		Registry:   n.registry,
-		Clock:      n.clock,
-		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Index:      r.local,
-		Remote:     r,
-		Dispatched: r.onDispatch,
-		Export:     func(e routing.Export) { r.exports.Push(e) },
-		Zone:       n.settings.Zone,
-		Region:     n.settings.Region,
+		Registry:    n.registry,
+		Clock:       n.clock,
+		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Index:       r.local,
+		OwnerLookup: r,
+		OnDispatch:  r.onDispatch,
+		OnExport:    func(e routing.Export) { r.exports.Push(e) },
+		Zone:        n.settings.Zone,
+		Region:      n.settings.Region,
 	}
 	return r.picker
 }
@@ -135,8 +135,8 @@
 	changed := r.updateMembers(ctx)
 	r.dropStaleTargets()
 	r.assignReaders(ctx, changed)
-	r.local.Tick()
-	r.intents.Expire(r.node.clock())
+	r.local.RemoveExpired()
+	r.coalescer.Expire(r.node.clock())
 }
 
 // updateMembers returns true if the assignment changed or a VM restarted.
@@ -157,7 +157,7 @@
 	slices.Sort(region)
 	slices.Sort(zone)
 	same := slices.Equal(region, old.owners.Names()) && slices.Equal(zone, old.readers.Names())
-	r.peers.Store(&indexPeers{prefix.NewMembers(region), prefix.NewMembers(zone), clients})
+	r.peers.Store(&indexPeers{prefix.NewVMSet(region), prefix.NewVMSet(zone), clients})
 	for vm, p := range old.clients {
 		if clients[vm] != p {
 			// The VM left, or it restarted with an empty index.
@@ -217,16 +217,16 @@
 	peers := r.peers.Load()
 	self := r.node.settings.VM
 	owner := ""
-	work := &indexv1.Dispatch{Target: encodeRef(d.Ref), WorkUs: uint32(d.Work.Microseconds())}
+	work := &indexv1.Dispatch{Target: encodeRef(d.Ref), WorkUs: uint32(d.PrefillTime.Microseconds())}
 	if len(d.Chain) > 0 {
 		owner = peers.owners.Owner(d.Chain[0])
 	}
 	if peer, ok := peers.clients[owner]; ok && owner != self {
-		full := &indexv1.Dispatch{Target: work.Target, WorkUs: work.WorkUs, Blocks: encodeHashes(d.Chain), Held: uint32(d.Held), Failed: d.Failed}
+		full := &indexv1.Dispatch{Target: work.Target, WorkUs: work.WorkUs, Blocks: encodeHashes(d.Chain), Held: uint32(d.HeldBlocks), Failed: d.Failed}
 		peer.pending.Push(indexUpdate{dispatch: full})
 	}
 	if owner == self {
-		r.intents.Placed(d.Chain)
+		r.coalescer.Complete(d.Chain)
 	}
 	if d.Failed {
 		return
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -66,7 +66,7 @@
 	// registries directly.
 	announce := targethttp.AnnounceHandler(func(a target.Announcement) {
 		for _, vm := range vms {
-			vm.registry.Announce(a, time.Now())
+			vm.registry.MergeAnnouncement(a, time.Now())
 		}
 	})
 	if err := vms[0].listen(vms[0].settings.TargetAddress, &http.Server{Handler: announce}); err != nil {
@@ -78,7 +78,7 @@
 func startCachingEngine(t *testing.T, vms []routingVM, id string, cache standin.CacheOptions) *standin.Engine {
 	t.Helper()
 	o := standin.EngineOptions{ID: id, Zone: "a", Region: "r", Model: "m", Version: "v1", Cache: cache}
-	o.Announce = []string{"http://" + vms[0].settings.TargetAddress}
+	o.AnnounceURLs = []string{"http://" + vms[0].settings.TargetAddress}
 	e, err := standin.StartEngine("127.0.0.1:0", o)
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	stream, err := targethttp.NewEngines(nil).Open(context.Background(), pick.Target, serving.EngineRequest{Call: call, Prefix: pick.Prefix})
+	stream, err := targethttp.NewEngineClient(nil).Open(context.Background(), pick.Target, serving.EngineRequest{Call: call, Prefix: pick.Prefix})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 // the chain has failed, but never in another workspace.
 func TestVMsShareIndex(t *testing.T) {
 	vms := startRoutingVMs(t, 3)
-	cache := standin.CacheOptions{Blocks: 1000, BlockTokens: 10, EventLoss: 0.3}
+	cache := standin.CacheOptions{CapacityBlocks: 1000, BlockTokens: 10, EventLossRate: 0.3}
 	for i := range 4 {
 		startCachingEngine(t, vms, fmt.Sprint("e", i), cache)
 	}
@@ -155,7 +155,7 @@
 // engine that has never seen it.
 func TestReusedPrefixReachesOtherEngine(t *testing.T) {
 	vms := startRoutingVMs(t, 1)
-	cache := standin.CacheOptions{Blocks: 100, BlockTokens: 10}
+	cache := standin.CacheOptions{CapacityBlocks: 100, BlockTokens: 10}
 	startCachingEngine(t, vms, "e0", cache)
 	startCachingEngine(t, vms, "e1", cache)
 	cache.KVStore = true
--- a/internal/daemon/services_test.go
+++ b/internal/daemon/services_test.go
@@ -18,7 +18,7 @@
 
 func startService(t testing.TB, name, id string, vms ...*testVM) *standin.Service {
 	t.Helper()
-	s, err := standin.StartService("127.0.0.1:0", standin.ServiceOptions{ID: id, Zone: "muc-a", Region: "oberbayern", Service: name, Announce: announceTo(vms)})
+	s, err := standin.StartService("127.0.0.1:0", standin.ServiceOptions{ID: id, Zone: "muc-a", Region: "oberbayern", Service: name, AnnounceURLs: announceTo(vms)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 		{"GET", "/stock/../orders", testKey, "", 400},
 		{"TRACE", "/stock", testKey, "", 405},
 	} {
-		before := service.Total()
+		before := service.ExecutionCount()
 		status, header, body := call(t, c.method, vm.base+c.path, c.key, c.body)
-		ran := service.Total() - before
+		ran := service.ExecutionCount() - before
 		if status != c.status || (status == 200) != (ran == 1) || status == 200 && (body != c.body || header.Get("X-Method") != c.method) {
 			t.Errorf("%s %s: status %d, ran %d times, %d bytes", c.method, c.path, status, ran, len(body))
 		}
 	}
-	if seen := service.Seen()[0]; !strings.HasPrefix(seen, "GET /stock/oak?count=2&size=l ") {
+	if seen := service.RecordedRequests()[0]; !strings.HasPrefix(seen, "GET /stock/oak?count=2&size=l ") {
 		t.Errorf("the request line was changed: %.80s", seen)
 	}
 }
@@ -89,18 +89,18 @@
 		status int
 		ran    int
 	}{
-		{"dropped answer", standin.ServiceFaults{DropAnswer: true, Requests: 1}, "body", 200, 2},
-		{"overloaded replica", standin.ServiceFaults{Status: 503, Requests: 1}, "body", 200, 2},
+		{"dropped answer", standin.ServiceFaults{DropResponse: true, MaxRequests: 1}, "body", 200, 2},
+		{"overloaded replica", standin.ServiceFaults{Status: 503, MaxRequests: 1}, "body", 200, 2},
 		{"service error", standin.ServiceFaults{Status: 500}, "body", 500, 1},
-		{"body cannot be replayed", standin.ServiceFaults{DropAnswer: true, Requests: 1}, large, 502, 1},
-		{"truncated answer", standin.ServiceFaults{CutAfter: 2, Requests: 1}, "body", 0, 1},
+		{"body cannot be replayed", standin.ServiceFaults{DropResponse: true, MaxRequests: 1}, large, 502, 1},
+		{"truncated answer", standin.ServiceFaults{CloseAfterBytes: 2, MaxRequests: 1}, "body", 0, 1},
 	} {
 		vm := startVM(t, "muc-a", testDocument())
 		service := startService(t, "stock", "s1", vm)
 		service.SetFaults(c.fault)
 		status, _, _ := call(t, "POST", vm.base+"/stock", testKey, c.body)
-		if status != c.status || service.Total() != c.ran {
-			t.Errorf("%s: status %d after %d executions, want %d after %d", c.name, status, service.Total(), c.status, c.ran)
+		if status != c.status || service.ExecutionCount() != c.ran {
+			t.Errorf("%s: status %d after %d executions, want %d after %d", c.name, status, service.ExecutionCount(), c.status, c.ran)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 			t.Errorf("%d bytes: status %d, want %d", len(body), resp.StatusCode, want)
 		}
 	}
-	if service.Total() != 1 {
-		t.Errorf("%d calls were completed, want 1", service.Total())
+	if service.ExecutionCount() != 1 {
+		t.Errorf("%d calls were completed, want 1", service.ExecutionCount())
 	}
 }
 
@@ -149,10 +149,10 @@
 			t.Fatalf("status %d, body %q", status, body)
 		}
 	}
-	if b.Total() != 4 {
-		t.Errorf("the fast replica ran %d calls, want 4", b.Total())
+	if b.ExecutionCount() != 4 {
+		t.Errorf("the fast replica ran %d calls, want 4", b.ExecutionCount())
 	}
-	await(t, "cancelled attempts", func() bool { return a.Gone() == a.Total() })
+	await(t, "cancelled attempts", func() bool { return a.DisconnectedCount() == a.ExecutionCount() })
 }
 
 // Guards against forwarding a caller's key to a target. The test puts keys in
@@ -164,7 +164,7 @@
 	}
 	document := testDocument()
 	yards := document.Workspaces["yards"]
-	yards.Keys = append(yards.Keys, config.Key{ID: "k2", SHA256: keys.Sum(other).String()})
+	yards.Keys = append(yards.Keys, config.Key{ID: "k2", SHA256: keys.HashKey(other).String()})
 	document.Workspaces["yards"] = yards
 	vm := startVM(t, "muc-a", document)
 	service := startService(t, "stock", "s1", vm)
@@ -173,10 +173,10 @@
 			sendEverywhere(t, vm.base+path, key)
 		}
 	}
-	if len(service.Seen()) < 20 {
-		t.Fatalf("only %d calls arrived", len(service.Seen()))
+	if len(service.RecordedRequests()) < 20 {
+		t.Fatalf("only %d calls arrived", len(service.RecordedRequests()))
 	}
-	for _, seen := range service.Seen() {
+	for _, seen := range service.RecordedRequests() {
 		for _, key := range []string{testKey, other} {
 			for _, form := range []string{key, strings.ToLower(key), base64.StdEncoding.EncodeToString([]byte(key)), base64.StdEncoding.EncodeToString([]byte("user:" + key))} {
 				if strings.Contains(strings.ToLower(seen), strings.ToLower(form)) {
@@ -239,7 +239,7 @@
 	if status, run, _ := order(vms[1], "k1", "three oak"); status != 422 || run != "not-run" {
 		t.Errorf("other body: status %d, %s", status, run)
 	}
-	service.SetFaults(standin.ServiceFaults{DropAnswer: true})
+	service.SetFaults(standin.ServiceFaults{DropResponse: true})
 	if status, run, _ := order(vms[0], "k2", "x"); status != 502 || run != "unknown" {
 		t.Errorf("lost answer: status %d, %s", status, run)
 	}
@@ -265,13 +265,13 @@
 	service.SetFaults(standin.ServiceFaults{Delay: time.Hour})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for service.Total() == 0 {
+		for service.ExecutionCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}()
 	_, _ = send(ctx, "POST", vm.base+"/stock", testKey, "body")
-	await(t, "cancelled call", func() bool { return service.Gone() == 1 })
+	await(t, "cancelled call", func() bool { return service.DisconnectedCount() == 1 })
 }
 
 // Guards against an at-most-once model request that is resumed, sent to a
@@ -283,7 +283,7 @@
 	document.Routes["grade"] = grade
 	vms := startVMs(t, document, "muc-a", "muc-b", "muc-a")
 	engines := []*standin.Engine{startEngine(t, "e1", false, vms...), startEngine(t, "e2", true, vms...)}
-	started := func() int { return engines[0].Started() + engines[1].Started() }
+	started := func() int { return engines[0].RequestCount() + engines[1].RequestCount() }
 	grading := func(vm *testVM, key string, stream bool) answer {
 		resp, err := send(t.Context(), "POST", vm.base+"/v1/chat/completions", testKey, chatBody("dossier", 20, stream), "Idempotency-Key", key)
 		if err != nil {
@@ -301,7 +301,7 @@
 		}
 	}
 	for _, e := range engines {
-		e.SetFaults(standin.Faults{CutAfter: 5})
+		e.SetFaults(standin.EngineFaults{CloseAfterTokens: 5})
 	}
 	before := started()
 	if got := grading(vms[0], "cut", true); got.done != 0 || got.failed != "target_failed" {
--- a/internal/daemon/serving.go
+++ b/internal/daemon/serving.go
@@ -19,16 +19,16 @@
 func (n *Node) startServing() error {
 	health := retry.NewHealth(n.clock)
 	service := &serving.Service{
-		Clock:    n.clock,
-		Limiter:  n.rates,
-		Queue:    n.newQueue(),
-		Claims:   n.startClaims(),
-		Picker:   n.newTargetPicker(n.enginePicker(health), health),
-		Retries:  retry.NewBudgets(),
-		Engines:  targethttp.NewEngines(n.options.Dial),
-		Services: targethttp.NewServices(n.options.Dial),
-		Ledger:   n.ledger,
-		Observer: n.observer,
+		Clock:         n.clock,
+		Limiter:       n.rates,
+		Queue:         n.newQueue(),
+		Claims:        n.startClaims(),
+		Picker:        n.newTargetPicker(n.enginePicker(health), health),
+		Retries:       retry.NewBudgets(),
+		Engines:       targethttp.NewEngineClient(n.options.Dial),
+		Services:      targethttp.NewServiceClient(n.options.Dial),
+		UsageRecorder: n.ledger,
+		Observer:      n.observer,
 	}
 	n.callers = &callerhttp.Server{
 		Snapshot: n.Snapshot,
--- a/internal/daemon/streams_test.go
+++ b/internal/daemon/streams_test.go
@@ -14,14 +14,14 @@
 // Guards against lost, duplicated or foreign tokens when an engine fails during
 // a response: the caller must receive the answer that a healthy engine gives.
 func TestStreamsSurviveEngineFaults(t *testing.T) {
-	faults := map[string]standin.Faults{
-		"cut":            {CutAfter: 10, Requests: 1},
-		"cut twice":      {CutAfter: 10, Requests: 2},
-		"stall":          {StallAfter: 10, Requests: 1},
-		"stall at start": {StallAfter: 1, Requests: 1},
-		"crossed":        {Cross: 1},
-		"status 500":     {Status: 500, Requests: 1},
-		"status 429":     {Status: 429, Requests: 1},
+	faults := map[string]standin.EngineFaults{
+		"cut":            {CloseAfterTokens: 10, MaxRequests: 1},
+		"cut twice":      {CloseAfterTokens: 10, MaxRequests: 2},
+		"stall":          {StallAfterTokens: 10, MaxRequests: 1},
+		"stall at start": {StallAfterTokens: 1, MaxRequests: 1},
+		"crossed":        {ForeignEvents: 1},
+		"status 500":     {Status: 500, MaxRequests: 1},
+		"status 429":     {Status: 429, MaxRequests: 1},
 	}
 	for name, fault := range faults {
 		for _, http2 := range []bool{false, true} {
@@ -49,11 +49,11 @@
 	vm := startVM(t, "muc-a", testDocument())
 	engine := startEngine(t, "e1", false, vm)
 	want := ask(t, vm, "dossier", 40, nil)
-	engine.SetFaults(standin.Faults{CutAfter: 30, Repeat: 5})
+	engine.SetFaults(standin.EngineFaults{CloseAfterTokens: 30, RepeatTokens: 5})
 	if got := ask(t, vm, "dossier", 40, nil); !got.complete() || got.text != want.text {
 		t.Errorf("repeated tokens: got %+v, want %q", got, want.text)
 	}
-	engine.SetFaults(standin.Faults{CutAfter: 30, Skip: 1})
+	engine.SetFaults(standin.EngineFaults{CloseAfterTokens: 30, SkipTokens: 1})
 	got := ask(t, vm, "dossier", 40, nil)
 	if got.done != 0 || got.failed == "" || !strings.HasPrefix(want.text, got.text) {
 		t.Errorf("skipped token: got %+v, want a prefix and an error event", got)
@@ -69,18 +69,18 @@
 			engine := startEngine(t, "e1", http2, vm)
 			want := ask(t, vm, "dossier", 200, nil)
 			got := ask(t, vm, "dossier", 200, func(n int) {
-				if n == 20 && engine.Silence() == 0 {
+				if n == 20 && engine.BlackholeConnections() == 0 {
 					t.Error("no connection to the engine was open")
 				}
 			})
 			if !got.complete() || got.text != want.text {
 				t.Errorf("stream in flight: %d end markers, error %q, text equal: %t", got.done, got.failed, got.text == want.text)
 			}
-			started := engine.Started()
-			if got := ask(t, vm, "another", 20, nil); !got.complete() || engine.Started() != started+1 {
-				t.Errorf("new request: %+v after %d attempts", got, engine.Started()-started)
+			started := engine.RequestCount()
+			if got := ask(t, vm, "another", 20, nil); !got.complete() || engine.RequestCount() != started+1 {
+				t.Errorf("new request: %+v after %d attempts", got, engine.RequestCount()-started)
 			}
-			await(t, "end of the silent request", func() bool { return engine.Running() == 0 })
+			await(t, "end of the silent request", func() bool { return engine.InFlight() == 0 })
 		})
 	}
 }
@@ -98,22 +98,22 @@
 	}
 	engine := startEngine(t, "e1", false, vm)
 	for _, c := range []struct {
-		fault  standin.Faults
+		fault  standin.EngineFaults
 		status int
 		run    string
 	}{
-		{standin.Faults{Status: 500}, http.StatusBadGateway, "unknown"},
-		{standin.Faults{Status: 429}, http.StatusServiceUnavailable, "unknown"},
-		{standin.Faults{Status: 400}, http.StatusBadRequest, "ran"},
+		{standin.EngineFaults{Status: 500}, http.StatusBadGateway, "unknown"},
+		{standin.EngineFaults{Status: 429}, http.StatusServiceUnavailable, "unknown"},
+		{standin.EngineFaults{Status: 400}, http.StatusBadRequest, "ran"},
 	} {
 		engine.SetFaults(c.fault)
-		started := engine.Started()
+		started := engine.RequestCount()
 		got := ask(t, vm, "dossier", 20, nil)
-		if got.status != c.status || got.header.Get("Cuminwing-Run") != c.run || engine.Started() != started+1 {
-			t.Errorf("%+v: got %+v after %d attempts", c, got, engine.Started()-started)
+		if got.status != c.status || got.header.Get("Cuminwing-Run") != c.run || engine.RequestCount() != started+1 {
+			t.Errorf("%+v: got %+v after %d attempts", c, got, engine.RequestCount()-started)
 		}
 	}
-	engine.SetFaults(standin.Faults{CutAfter: 5})
+	engine.SetFaults(standin.EngineFaults{CloseAfterTokens: 5})
 	if got := ask(t, vm, "dossier", 20, nil); got.done != 0 || got.failed != "target_failed" {
 		t.Errorf("truncated stream: %+v", got)
 	}
@@ -129,13 +129,13 @@
 	engine := startEngine(t, "e1", false, vm)
 	got := ask(t, vm, "dossier", 100000, func(n int) {
 		if n == 10 {
-			vm.withdrawn.Add(keys.Sum(testKey))
+			vm.withdrawn.Add(keys.HashKey(testKey))
 		}
 	})
 	if got.done != 0 || got.failed != "key_withdrawn" {
 		t.Errorf("got %d end markers and error %q", got.done, got.failed)
 	}
-	await(t, "engine is idle", func() bool { return engine.Running() == 0 })
+	await(t, "engine is idle", func() bool { return engine.InFlight() == 0 })
 }
 
 // Guards against engines that keep working after the caller has disconnected.
@@ -149,7 +149,7 @@
 			t.Fatal(err)
 		}
 		readAnswer(resp, func(int) { cancel() })
-		await(t, "cancelled request", func() bool { return engine.Cancelled() == 1 && engine.Running() == 0 })
+		await(t, "cancelled request", func() bool { return engine.CancelledCount() == 1 && engine.InFlight() == 0 })
 	}
 }
 
@@ -160,7 +160,7 @@
 	document.Limits.HeartbeatMS = 20
 	vm := startVM(t, "muc-a", document)
 	engine := startEngine(t, "e1", false, vm)
-	engine.SetFaults(standin.Faults{StallAfter: 1, Requests: 1})
+	engine.SetFaults(standin.EngineFaults{StallAfterTokens: 1, MaxRequests: 1})
 	if got := ask(t, vm, "dossier", 10, nil); !got.complete() || !strings.Contains(got.body, ": waiting") {
 		t.Errorf("got %+v", got)
 	}
@@ -178,5 +178,5 @@
 	if got.done != 0 || got.failed != "deadline_exceeded" && got.status != http.StatusGatewayTimeout {
 		t.Errorf("got %d end markers, status %d and error %q", got.done, got.status, got.failed)
 	}
-	await(t, "engine is idle", func() bool { return engine.Running() == 0 })
+	await(t, "engine is idle", func() bool { return engine.InFlight() == 0 })
 }
--- a/internal/daemon/targets.go
+++ b/internal/daemon/targets.go
@@ -32,11 +32,11 @@
 }
 
 func (n *Node) acceptAnnouncement(a target.Announcement) {
-	change := n.registry.Announce(a, n.clock())
+	change := n.registry.MergeAnnouncement(a, n.clock())
 	n.gossip.Announce(a, change)
 	switch change {
-	case target.Joined, target.Replaced, target.Left, target.Redescribed:
-		if !membership.Fits(a) {
+	case target.Joined, target.Replaced, target.Left, target.DescriptionChanged:
+		if !membership.FitsPacket(a) {
 			n.logger.Error("target announcement does not fit in a gossip packet; other VMs do not receive it", zap.String("target", a.ID), zap.Int("adapters", len(a.Adapters)))
 		}
 		n.logger.Info("target changed", zap.String("target", a.ID), zap.Uint64("incarnation", a.Incarnation), zap.Stringer("change", change))
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -21,10 +21,10 @@
 	usageFinalFlushTimeout = 5 * time.Second
 )
 
-// startUsage registers usage accounting as a replicated part and serves usage
+// startUsage registers usage accounting as a state machine and serves usage
 // reports.
 func (n *Node) startUsage() error {
-	n.parts[control.KindUsage] = usage.NewPart()
+	n.stateMachines[control.KindUsage] = usage.NewStateMachine()
 	n.ledger = usage.NewLedger(n.settings.VM, n.incarnation, n.clock)
 	service := usagev1.NewUsageServiceServer(usageServer{n})
 	n.adminMux.Handle(service.PathPrefix(), service)
--- a/internal/daemon/withdrawals.go
+++ b/internal/daemon/withdrawals.go
@@ -38,8 +38,8 @@
 
 // withdrawals distributes withdrawn keys. The set itself is Node.withdrawn.
 type withdrawals struct {
-	node *Node
-	part *keyset.Part
+	node         *Node
+	stateMachine *keyset.StateMachine
 
 	// fileMu guards the state file and saved, the digest of its contents.
 	fileMu sync.Mutex
@@ -54,12 +54,12 @@
 	uncommittedRounds map[keys.Hash]int
 }
 
-// startWithdrawals registers withdrawn keys as a replicated part and loads
+// startWithdrawals registers withdrawn keys as a state machine and loads
 // those stored in the data folder.
 func (n *Node) startWithdrawals() error {
 	w := &withdrawals{node: n, pending: make(map[keys.Hash]struct{}), uncommittedRounds: make(map[keys.Hash]int)}
-	w.part = keyset.NewPart(func(h []keys.Hash) { n.withdrawn.Add(h...) })
-	n.parts[control.KindKeys] = w.part
+	w.stateMachine = keyset.NewStateMachine(func(h []keys.Hash) { n.withdrawn.Add(h...) })
+	n.stateMachines[control.KindKeys] = w.stateMachine
 	n.withdrawals = w
 	service := keysv1.NewKeyServiceServer(keyServer{w})
 	n.peerMux.Handle(service.PathPrefix(), service)
@@ -154,7 +154,7 @@
 }
 
 func (w *withdrawals) push(ctx context.Context, self bool, hashes []keys.Hash) []*adminv1.ZoneReach {
-	request := &keysv1.PushRequest{Hashes: keyset.ToBytes(hashes)}
+	request := &keysv1.PushRequest{Hashes: keyset.EncodeHashes(hashes)}
 	return w.node.pollPeers(ctx, self, func(ctx context.Context, p peer) (string, bool) {
 		answer, err := w.client(p).Push(ctx, request)
 		if err != nil {
@@ -207,7 +207,7 @@
 		return due
 	}
 	for _, h := range w.node.withdrawn.All() {
-		if w.part.Contains(h) {
+		if w.stateMachine.Contains(h) {
 			delete(w.uncommittedRounds, h)
 			continue
 		}
@@ -247,7 +247,7 @@
 	if err != nil {
 		return err
 	}
-	theirs, err := keyset.FromBytes(answer.GetHashes())
+	theirs, err := keyset.DecodeHashes(answer.GetHashes())
 	if err != nil {
 		return err
 	}
@@ -258,7 +258,7 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	_, err = w.client(p).Push(ctx, &keysv1.PushRequest{Hashes: keyset.ToBytes(missing)})
+	_, err = w.client(p).Push(ctx, &keysv1.PushRequest{Hashes: keyset.EncodeHashes(missing)})
 	return err
 }
 
@@ -283,7 +283,7 @@
 // Push implements keysv1.KeyService. The response confirms that this VM rejects
 // the keys, also after a restart with the data folder.
 func (s keyServer) Push(_ context.Context, req *keysv1.PushRequest) (*keysv1.PushResponse, error) {
-	hashes, err := keyset.FromBytes(req.GetHashes())
+	hashes, err := keyset.DecodeHashes(req.GetHashes())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("hashes", err.Error())
 	}
@@ -306,5 +306,5 @@
 		}
 	}
 	hashes := s.w.node.withdrawn.InBuckets(differing)
-	return &keysv1.SyncResponse{Differing: differing, Hashes: keyset.ToBytes(hashes)}, nil
+	return &keysv1.SyncResponse{Differing: differing, Hashes: keyset.EncodeHashes(hashes)}, nil
 }
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -58,9 +58,9 @@
 	Weights map[string]uint64
 	// Busy is set while the engine executes an order.
 	Busy bool
-	// Orders is the number of orders that the engine has accepted since it
-	// started.
-	Orders uint64
+	// AcceptedOrders is the number of orders that the engine has accepted since
+	// it started.
+	AcceptedOrders uint64
 	// Requests is the number of running and queued requests.
 	Requests int
 }
@@ -70,28 +70,28 @@
 type WeightsOrder struct {
 	Model   string
 	Version uint64
-	// Holder is the VM that gives the order. Fence is its fencing token, the
-	// Raft term.
-	Holder string
-	Fence  uint64
-	// After is the number of orders that the engine must have accepted before
-	// this one. An engine with another count rejects the order, so that a
-	// delayed order has no effect.
-	After uint64
+	// Holder is the VM that gives the order. FencingToken is its fencing token,
+	// the Raft term.
+	Holder       string
+	FencingToken uint64
+	// AcceptedOrders is the number of orders that the engine must have accepted
+	// before this one. An engine with another count rejects the order, so that
+	// a delayed order has no effect.
+	AcceptedOrders uint64
 }
 
-// Decoder decodes the document that an operator has sent. Its error names the
-// invalid part.
-type Decoder func(raw []byte) (*gateway.Document, error)
+// DocumentDecoder decodes the document that an operator has sent. Its error
+// names the invalid part.
+type DocumentDecoder func(raw []byte) (*gateway.Document, error)
 
 // Core is a core process: one replica of the control log, with the tasks that
 // the leader runs.
 type Core struct {
 	settings    Settings
 	logger      *zap.Logger
-	decode      Decoder
+	decode      DocumentDecoder
 	engines     EngineAPI
-	document    *gateway.Part
+	document    *gateway.StateMachine
 	registry    *fleet.Registry
 	replica     *replica.Replica
 	log         *replica.Log
@@ -109,9 +109,9 @@
 	mu sync.Mutex
 	// changed is closed and replaced whenever the replicated state or the Raft
 	// role changes.
-	changed chan struct{}
-	divider *ratelimit.Divider
-	fronts  *fleetsync.Fronts
+	changed   chan struct{}
+	allocator *ratelimit.ShareAllocator
+	fronts    *fleetsync.Fronts
 	// electedAt is when this replica became leader, on the boot clock; 0 if it
 	// is not the leader.
 	electedAt time.Duration
@@ -120,7 +120,7 @@
 // CoreOptions are the dependencies of a core process.
 type CoreOptions struct {
 	Logger  *zap.Logger
-	Decode  Decoder
+	Decode  DocumentDecoder
 	Engines EngineAPI
 	// Disk replaces the function that opens files. Only tests set it.
 	Disk disk.Options
@@ -154,7 +154,7 @@
 func runCore(ctx context.Context, s Settings, options CoreOptions) error {
 	c := &Core{
 		settings: s, logger: options.Logger, decode: options.Decode, engines: options.Engines, disk: options.Disk,
-		document: &gateway.Part{}, registry: fleet.NewRegistry(), changed: make(chan struct{}), logFailed: make(chan struct{}),
+		document: &gateway.StateMachine{}, registry: fleet.NewRegistry(), changed: make(chan struct{}), logFailed: make(chan struct{}),
 		client: peerClient(), storeHealth: newStoreHealth(),
 	}
 	// The tasks keep running after ctx is done, so that shutdown can transfer
@@ -204,7 +204,7 @@
 	set.Gauge("leads", func() any { return c.replica.Status().Role == raft.Leader })
 	set.Gauge("term", func() any { return c.replica.Status().Term })
 	set.Gauge("commit", func() any { return c.replica.Status().Commit })
-	set.Gauge("voters", func() any { return c.replica.Status().Members.Voters() })
+	set.Gauge("voters", func() any { return c.replica.Status().Members.VoterCount() })
 	set.Gauge("document", func() any { return c.document.Current().Version })
 	set.Gauge("targets", func() any { return len(c.registry.Current().Targets) })
 }
@@ -233,15 +233,15 @@
 	}
 	url := func(address string) string { return "http://" + address }
 	r, err := replica.Open(replica.Config{
-		ID:        id,
-		Folder:    c.settings.DataFolder,
-		Disk:      c.disk,
-		Bootstrap: bootstrap,
-		Parts:     map[control.Kind]control.Part{control.KindDocument: c.document, control.KindFleet: c.registry},
-		Transport: &replica.Peers{Self: c.settings.selfPeerAddress(), URL: url, Client: c.client, Start: c.startTask},
-		Clock:     time.Now,
-		Steady:    boottime.Now,
-		OnChange:  c.onReplicaStatus,
+		ID:            id,
+		Folder:        c.settings.DataFolder,
+		Disk:          c.disk,
+		Bootstrap:     bootstrap,
+		StateMachines: map[control.Kind]control.StateMachine{control.KindDocument: c.document, control.KindFleet: c.registry},
+		Transport:     &replica.TwirpTransport{Self: c.settings.selfPeerAddress(), URL: url, Client: c.client, Go: c.startTask},
+		Clock:         time.Now,
+		ElectionClock: boottime.Now,
+		OnChange:      c.onReplicaStatus,
 	})
 	var corrupt *disk.CorruptError
 	if errors.As(err, &corrupt) {
@@ -261,7 +261,7 @@
 	c.mu.Lock()
 	switch {
 	case s.Role != raft.Leader:
-		c.electedAt, c.divider, c.fronts = 0, nil, nil
+		c.electedAt, c.allocator, c.fronts = 0, nil, nil
 	case c.electedAt == 0:
 		c.electedAt = boottime.Now()
 		electedAt := c.electedAt
@@ -275,7 +275,7 @@
 		return
 	}
 	c.logger.Info("control log changed", zap.String("role", s.Role.String()), zap.String("leader", s.Leader),
-		zap.Uint64("term", s.Term), zap.Uint64("commit", s.Commit), zap.Int("voters", s.Members.Voters()))
+		zap.Uint64("term", s.Term), zap.Uint64("commit", s.Commit), zap.Int("voters", s.Members.VoterCount()))
 }
 
 // notify wakes all goroutines that wait for a state change.
@@ -296,7 +296,7 @@
 // leadership is the in-memory state of a leader. It is not replicated.
 type leadership struct {
 	electedAt time.Duration
-	divider   *ratelimit.Divider
+	allocator *ratelimit.ShareAllocator
 	fronts    *fleetsync.Fronts
 }
 
@@ -305,7 +305,7 @@
 func (c *Core) leadership() (leadership, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return leadership{c.electedAt, c.divider, c.fronts}, c.divider != nil
+	return leadership{c.electedAt, c.allocator, c.fronts}, c.allocator != nil
 }
 
 // establishLeadership starts serving as leader once a read barrier shows that
@@ -343,7 +343,7 @@
 	c.mu.Lock()
 	if c.electedAt == electedAt {
 		c.fronts = fleetsync.NewFronts()
-		c.divider = ratelimit.NewDivider(boottime.Now(), c.settings.Bounds.Quota.Window, spent)
+		c.allocator = ratelimit.NewShareAllocator(boottime.Now(), c.settings.Guarantees.Quota.Window, spent)
 	}
 	c.mu.Unlock()
 	c.logger.Info("leadership established", zap.Duration("after", boottime.Now()-electedAt), zap.Any("spent", spent))
--- a/internal/edge/coreapi.go
+++ b/internal/edge/coreapi.go
@@ -19,19 +19,19 @@
 		c.logger.Info("document rejected", zap.Int("bytes", len(raw)), zap.Error(err))
 		return err
 	}
-	err = c.propose(ctx, control.KindDocument, gateway.EncodePut(document.Version, raw))
+	err = c.propose(ctx, control.KindDocument, gateway.EncodeProposal(document.Version, raw))
 	c.logger.Info("document proposed", zap.Uint64("version", document.Version), zap.Int("bytes", len(raw)),
 		zap.Int("routes", len(document.Routes)), zap.Uint64("in_force", c.document.Current().Version), zap.Error(err))
 	return err
 }
 
 // Document returns the latest committed document, by a linearizable read.
-func (c *Core) Document(ctx context.Context) (gateway.Stored, error) {
+func (c *Core) Document(ctx context.Context) (gateway.StoredDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if err := c.barriers.wait(ctx); err != nil {
 		c.logger.Info("document read failed", zap.Error(err))
-		return gateway.Stored{}, ErrUnavailable
+		return gateway.StoredDocument{}, ErrUnavailable
 	}
 	return c.document.Current(), nil
 }
@@ -49,8 +49,8 @@
 	return err
 }
 
-// Leave deregisters a target.
-func (c *Core) Leave(ctx context.Context, id string) error {
+// Deregister deregisters a target.
+func (c *Core) Deregister(ctx context.Context, id string) error {
 	if _, ok := c.registry.Current().Targets[id]; !ok && c.isMember() {
 		// This replica may lag behind the leader, so the target may be
 		// registered although it is missing here.
@@ -66,8 +66,8 @@
 	return err
 }
 
-// NameWeights sets the version of a model that engines have to run.
-func (c *Core) NameWeights(ctx context.Context, w fleet.Weights) error {
+// SetRequiredWeights sets the version of a model that engines have to run.
+func (c *Core) SetRequiredWeights(ctx context.Context, w fleet.RequiredWeights) error {
 	err := c.propose(ctx, control.KindFleet, fleet.Command{Weights: &w}.Encode())
 	c.logger.Info("required weights proposed", zap.String("model", w.Model), zap.Uint64("version", w.Version), zap.Error(err))
 	return err
--- a/internal/edge/coremembers.go
+++ b/internal/edge/coremembers.go
@@ -53,7 +53,7 @@
 // addLearner adds a replica as a learner. If another replica is registered at its
 // address, that one has lost its disk and is removed first.
 func (c *Core) addLearner(ctx context.Context, request joinRequest) {
-	change, ok := raft.AdmitChange(c.replica.Status().Members, request.ID, request.Address)
+	change, ok := raft.NextJoinChange(c.replica.Status().Members, request.ID, request.Address)
 	if !ok {
 		return
 	}
@@ -70,10 +70,10 @@
 
 // repairMembers promotes learners and removes unreachable voters.
 func (c *Core) repairMembers(ctx context.Context) {
-	repair := raft.NewRepair()
+	repairer := raft.NewRepairer()
 	for pause.For(ctx, repairInterval) {
 		status := c.replica.Status()
-		if change, ok := repair.Next(boottime.Now(), &status.Status); ok {
+		if change, ok := repairer.Next(boottime.Now(), &status.Status); ok {
 			c.changeMembers(ctx, change)
 		}
 	}
@@ -88,7 +88,7 @@
 		if status.Failure != nil || status.Leader != "" && c.isMember() {
 			continue
 		}
-		if c.isMember() && !status.New && attempt%4 != 0 {
+		if c.isMember() && !status.Bootstrapping && attempt%4 != 0 {
 			// A voter that knows no leader is usually waiting for an election
 			// to finish, so it asks only on every fourth attempt.
 			continue
--- a/internal/edge/corespending.go
+++ b/internal/edge/corespending.go
@@ -26,7 +26,7 @@
 		if !leading {
 			continue
 		}
-		totals := leader.divider.Totals(boottime.Now())
+		totals := leader.allocator.Totals(boottime.Now())
 		if !spendingChanged(totals, c.registry.Current().Spent) {
 			continue
 		}
--- a/internal/edge/corestores_test.go
+++ b/internal/edge/corestores_test.go
@@ -18,7 +18,7 @@
 func documentWithStores(version uint64, addresses ...string) []byte {
 	d := &gateway.Document{
 		Version:  version,
-		Services: []gateway.Service{{Name: "s", Engine: &gateway.EngineLimits{CacheTokens: 1000, TokenBytes: 1000}}},
+		Services: []gateway.Service{{Name: "s", Engine: &gateway.Engine{CacheTokens: 1000, TokenBytes: 1000}}},
 	}
 	for _, address := range addresses {
 		d.Services = append(d.Services, gateway.Service{
@@ -92,7 +92,7 @@
 // Guards against a front that ignores the unreachable stores that the leader
 // reports.
 func TestFrontExcludesUnreachableStores(t *testing.T) {
-	s := Settings{VM: "f", Region: "r", Regions: map[string]string{"z": "r"}, Bounds: testBounds()}
+	s := Settings{VM: "f", Region: "r", Regions: map[string]string{"z": "r"}, Guarantees: testGuarantees()}
 	f := newFront(s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON})
 	f.applyResponse(time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, RawDocument: documentWithStores(1, "10.0.0.1:1", "10.0.0.2:1")})
 	f.applyResponse(2*time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, StoresLost: []string{"10.0.0.1:1"}})
--- a/internal/edge/coresync.go
+++ b/internal/edge/coresync.go
@@ -66,8 +66,8 @@
 		IsLeader: true, Core: c.coreAddresses(),
 		LeaderAgeMS: float64(received-leader.electedAt) / float64(time.Millisecond),
 	}
-	response.Shares = leader.divider.Report(boottime.Now(), request.VM, request.Incarnation, request.Shares)
-	response.FrontCount = leader.divider.VMs()
+	response.Shares = leader.allocator.Report(boottime.Now(), request.VM, request.Incarnation, request.Shares)
+	response.FrontCount = leader.allocator.VMCount()
 	response.Fronts, response.FrontsVersion = leader.fronts.Peers(request)
 	barrierStarted := boottime.Now()
 	if err := c.barriers.wait(ctx); err != nil {
--- a/internal/edge/coreweights.go
+++ b/internal/edge/coreweights.go
@@ -63,8 +63,8 @@
 	if !leading || !w.core.replica.HoldsLease() {
 		return false
 	}
-	ordersFrom := electedAt + w.core.settings.Bounds.HolderLease + leaseMargin
-	if now < ordersFrom-rollout.DrainWait {
+	ordersFrom := electedAt + w.core.settings.Guarantees.HolderLease + leaseMargin
+	if now < ordersFrom-rollout.DrainTimeout {
 		return false
 	}
 	w.mu.Lock()
@@ -75,7 +75,7 @@
 	w.mu.Unlock()
 	w.commitMarks(ctx, actions)
 	for _, a := range actions {
-		if a.Step == rollout.Order || a.Step == rollout.Check {
+		if a.Step == rollout.OrderLoad || a.Step == rollout.RequestReport {
 			w.callEngine(ctx, a)
 		}
 	}
@@ -96,9 +96,9 @@
 	var updates []fleet.UpdateMark
 	for _, a := range actions {
 		switch a.Step {
-		case rollout.Mark:
+		case rollout.MarkUpdating:
 			updates = append(updates, fleet.UpdateMark{ID: a.Target.ID, Updating: true})
-		case rollout.Release:
+		case rollout.ClearUpdating:
 			updates = append(updates, fleet.UpdateMark{ID: a.Target.ID, Weights: a.Weights})
 		}
 	}
@@ -111,7 +111,7 @@
 			zap.Uint64("weights", u.Weights), zap.Error(err))
 		if err == nil && !u.Updating {
 			w.mu.Lock()
-			w.planner.Released(u.ID)
+			w.planner.RemoveEngine(u.ID)
 			w.mu.Unlock()
 		}
 	}
@@ -126,7 +126,7 @@
 	w.core.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 		defer cancel()
-		if a.Step == rollout.Order {
+		if a.Step == rollout.OrderLoad {
 			w.sendOrder(ctx, a, after)
 		}
 		report, err := w.core.engines.Report(ctx, a.Target)
@@ -134,11 +134,11 @@
 		defer w.mu.Unlock()
 		if err != nil {
 			w.core.logger.Info("fetching the report of an engine failed", zap.String("target", a.Target.ID), zap.Error(err))
-			planner.Silent(boottime.Now(), a.Target.ID)
+			planner.RecordNoResponse(boottime.Now(), a.Target.ID)
 			return
 		}
-		w.accepted[a.Target.ID] = report.Orders
-		planner.Answered(boottime.Now(), a.Target.ID, rollout.State{
+		w.accepted[a.Target.ID] = report.AcceptedOrders
+		planner.RecordReport(boottime.Now(), a.Target.ID, rollout.EngineState{
 			Weights: report.Weights[a.Target.Model], Busy: report.Busy, Requests: report.Requests,
 		})
 	})
@@ -148,7 +148,7 @@
 func (w *weightsUpdater) sendOrder(ctx context.Context, a rollout.Action, after uint64) {
 	order := WeightsOrder{
 		Model: a.Target.Model, Version: a.Weights, Holder: w.core.settings.VM,
-		Fence: w.core.replica.Status().Term, After: after,
+		FencingToken: w.core.replica.Status().Term, AcceptedOrders: after,
 	}
 	// The lease is checked immediately before the call: an order sent after
 	// the lease has expired could conflict with one of the next holder.
@@ -157,5 +157,5 @@
 	}
 	err := w.core.engines.SetWeights(ctx, a.Target, order)
 	w.core.logger.Info("weights order sent", zap.String("target", a.Target.ID), zap.String("model", order.Model),
-		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.Fence), zap.Uint64("after", after), zap.Error(err))
+		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.FencingToken), zap.Uint64("after", after), zap.Error(err))
 }
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -72,9 +72,9 @@
 type Front struct {
 	settings Settings
 	logger   *zap.Logger
-	decode   Decoder
+	decode   DocumentDecoder
 	placer   *placement.Placer
-	shares   *ratelimit.Shares
+	shares   *ratelimit.ShareLimiter
 	pool     *targetconn.Pool
 	counters *metrics.Set
 	handler  *forward.Handler
@@ -109,7 +109,7 @@
 // FrontOptions are the dependencies of a front process.
 type FrontOptions struct {
 	Logger *zap.Logger
-	Decode Decoder
+	Decode DocumentDecoder
 	Codec  forward.Codec
 }
 
@@ -148,8 +148,8 @@
 		settings: s, logger: options.Logger, decode: options.Decode,
 		placer:       placement.New(s.Zone, s.Region, time.Now),
 		peers:        &frontPeers{},
-		staleWeights: newStaleWeightsFilter(s.Bounds.Weights - staleWeightsMargin),
-		shares:       ratelimit.NewShares(s.Bounds.Quota),
+		staleWeights: newStaleWeightsFilter(s.Guarantees.StaleWeights - staleWeightsMargin),
+		shares:       ratelimit.NewShareLimiter(s.Guarantees.Quota),
 		pool:         targetconn.New(),
 		counters:     metrics.New(s.VM),
 		client:       peerClient(),
@@ -158,14 +158,14 @@
 		registry:     fleet.NewState(),
 		synced:       make(chan struct{}),
 	}
-	f.counters.Gauge("connections_opened", func() any { return f.pool.Opened() })
+	f.counters.Gauge("connections_opened", func() any { return f.pool.OpenedConnections() })
 	f.counters.Gauge("confirmed_age_ms", func() any { return (boottime.Now() - f.state.Load().Confirmed).Milliseconds() })
 	f.state.Store(&forward.State{Confirmed: -time.Hour})
 	f.handler = &forward.Handler{
 		Codec: options.Codec, State: f.servingState,
-		Placer: f.placer, Quota: f.shares, Pool: f.pool, Logger: f.logger, Boot: boottime.Now,
-		KeysValid: s.Bounds.Revoke - keyValidityMargin, StateSoon: f.stateExpected, Stopping: f.stopping.Load, Observe: f.recordRequest,
-		Budget: &forward.Budget{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow},
+		Placer: f.placer, Quota: f.shares, Pool: f.pool, Logger: f.logger, BootClock: boottime.Now,
+		KeyLease: s.Guarantees.KeyRevocation - keyValidityMargin, StateExpected: f.stateExpected, Stopping: f.stopping.Load, Observe: f.recordRequest,
+		Budget: &forward.Budget{Ratio: s.Guarantees.RetryRatio, Slack: s.Guarantees.RetrySlack, Window: s.Guarantees.RetryWindow},
 	}
 	return f
 }
@@ -189,7 +189,7 @@
 	if state.Table == nil {
 		return boottime.Now()-f.startedAt < initialStateTimeout
 	}
-	return boottime.Now()-state.Confirmed < f.handler.KeysValid+coreRecoveryTimeout
+	return boottime.Now()-state.Confirmed < f.handler.KeyLease+coreRecoveryTimeout
 }
 
 // serveReadiness starts the server for the load balancer's readiness checks.
@@ -230,7 +230,7 @@
 	f.stopping.Store(true)
 	f.logger.Info("front stops", zap.String("reason", "signal"))
 	time.Sleep(drainDelay)
-	deadline, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Bounds.Grace-graceMargin))
+	deadline, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Guarantees.GracePeriod-graceMargin))
 	defer cancel()
 	if err := server.Shutdown(deadline); err != nil {
 		f.logger.Warn("grace period ended with requests in flight; closing their connections", zap.Error(err))
@@ -268,7 +268,7 @@
 func (f *Front) probeUnreachableTargets(ctx context.Context) {
 	for pause.For(ctx, targetProbeInterval) {
 		var probes sync.WaitGroup
-		for _, t := range f.placer.Paused() {
+		for _, t := range f.placer.DownTargets() {
 			probes.Go(func() { f.probeTarget(ctx, t) })
 		}
 		probes.Wait()
@@ -277,10 +277,10 @@
 
 // probeTarget connects to a target and returns it to placement if that succeeds.
 func (f *Front) probeTarget(ctx context.Context, t placement.Target) {
-	if err := f.pool.Try(ctx, t.Address); err != nil {
+	if err := f.pool.Probe(ctx, t.Address); err != nil {
 		return
 	}
-	f.placer.Reachable(t.ID)
+	f.placer.RecordReachable(t.ID)
 	f.logger.Info("target regained", zap.String("target", t.ID), zap.String("address", t.Address))
 }
 
@@ -289,7 +289,7 @@
 	for pause.For(ctx, sweepInterval) {
 		live := make(map[string]bool)
 		for _, t := range f.placer.Targets() {
-			live[t.Address] = !t.Closed
+			live[t.Address] = !t.Excluded
 		}
 		f.pool.Sweep(live)
 	}
--- a/internal/edge/frontpeers.go
+++ b/internal/edge/frontpeers.go
@@ -22,7 +22,7 @@
 	maxDatagramBytes = 2048
 )
 
-// frontPeers is the list of fronts that exchange announcements of their
+// frontPeers is the list of fronts that exchange hints about their
 // dispatches to engines.
 type frontPeers struct {
 	mu          sync.Mutex
@@ -38,7 +38,7 @@
 }
 
 // update replaces the list. An address that cannot be parsed is skipped: its
-// front gets no announcements, which only makes its placement slightly worse.
+// front gets no hints, which only makes its placement slightly worse.
 func (p *frontPeers) update(addresses []string, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,7 +68,7 @@
 	return p.members[a]
 }
 
-// startPeerExchange starts the tasks that send this front's announcements to its
+// startPeerExchange starts the tasks that send this front's hints to its
 // peers and receive theirs.
 func (f *Front) startPeerExchange(ctx context.Context, tasks *sync.WaitGroup) error {
 	address, err := net.ResolveUDPAddr("udp4", f.settings.selfPeerAddress())
@@ -91,18 +91,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.placer.Announcements():
+		case <-f.placer.HintsReady():
 		}
 		if !pause.For(ctx, announceDelay) {
 			return
 		}
-		for _, packet := range f.placer.TakeSent() {
+		for _, packet := range f.placer.TakeHints() {
 			f.sendToPeers(conn, packet)
 		}
 	}
 }
 
-// sendToPeers sends a packet to all peers. Announcements are only hints, so a
+// sendToPeers sends a packet to all peers. The packets are only hints, so a
 // packet that cannot be sent is counted and dropped.
 func (f *Front) sendToPeers(conn *net.UDPConn, packet []byte) {
 	for _, peer := range f.peers.all() {
@@ -112,7 +112,7 @@
 	}
 }
 
-// receiveFromPeers passes the peers' announcements to placement. It ignores
+// receiveFromPeers passes the peers' hints to placement. It ignores
 // datagrams from other addresses.
 func (f *Front) receiveFromPeers(ctx context.Context, conn *net.UDPConn) {
 	buffer := make([]byte, maxDatagramBytes)
@@ -126,7 +126,7 @@
 			continue
 		}
 		if f.peers.contains(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())) {
-			f.placer.Hint(buffer[:n])
+			f.placer.ApplyHints(buffer[:n])
 		}
 	}
 }
--- a/internal/edge/frontsync.go
+++ b/internal/edge/frontsync.go
@@ -100,7 +100,7 @@
 // versions and revisions older than those it has.
 func (f *Front) applyResponse(sentAt time.Duration, response fleetsync.Response) {
 	next := *f.state.Load()
-	next.Fronts = response.FrontCount
+	next.FrontCount = response.FrontCount
 	table, err := f.tableFor(next.Table, response)
 	if err != nil {
 		// The document that cannot be decoded is not in force, so the state must
@@ -110,7 +110,7 @@
 	}
 	if table != next.Table {
 		next.Table = table
-		f.updatePlacement(table, next.Fronts)
+		f.updatePlacement(table, next.FrontCount)
 		f.logger.Info("document in force", zap.Uint64("version", table.Document.Version))
 	}
 	// The read barrier at the leader started after the call was sent. Adding the
@@ -127,9 +127,9 @@
 		next.Weights = f.registry.Weights
 		f.logger.Info("targets changed", zap.Uint64("revision", d.Revision), zap.Int("changed", len(d.Targets)),
 			zap.Strings("gone", d.Removed), zap.Int("targets", len(f.registry.Targets)))
-		f.updatePlacement(next.Table, next.Fronts)
+		f.updatePlacement(next.Table, next.FrontCount)
 	} else if f.weightsPending {
-		f.updatePlacement(next.Table, next.Fronts)
+		f.updatePlacement(next.Table, next.FrontCount)
 	}
 	f.state.Store(&next)
 	if next.Table == nil {
@@ -169,7 +169,7 @@
 
 // applyShares passes the granted shares to the rate limiter.
 func (f *Front) applyShares(state forward.State, sentAt time.Duration, grants map[string]ratelimit.ShareGrant) {
-	f.shares.Grant(boottime.Now(), sentAt, state.Fronts, grants, func(name string) (rate, burst float64) {
+	f.shares.ApplyGrants(boottime.Now(), sentAt, state.FrontCount, grants, func(name string) (rate, burst float64) {
 		if w := state.Table.Workspace(name); w != nil {
 			return w.Rate, w.Burst
 		}
@@ -187,7 +187,7 @@
 	limits := make(map[string]int)
 	for _, t := range f.registry.Targets {
 		p := f.placementTarget(t)
-		p.Closed = p.Closed || f.staleWeights.excludes(now, &t)
+		p.Excluded = p.Excluded || f.staleWeights.excludes(now, &t)
 		f.weightsPending = f.weightsPending || t.Updating || t.Weights < f.registry.Weights[t.Model]
 		if table != nil {
 			p.CacheTokens = table.CacheTokens(t.Service)
@@ -199,7 +199,7 @@
 	}
 	f.placer.Update(targets)
 	f.placer.UpdateStores(f.reachableStores(table))
-	f.pool.SetLimits(limits)
+	f.pool.SetIdleLimits(limits)
 }
 
 // reachableStores returns the stores of the document except the unreachable ones.
@@ -214,8 +214,8 @@
 			continue
 		}
 		list = append(list, placement.Store{
-			Address: s.Address, Zone: s.Zone, Region: f.settings.Regions[s.Zone], Tokens: s.Tokens,
-			TokenMS: table.TokenBytes() / s.Rate * msPerSecond,
+			Address: s.Address, Zone: s.Zone, Region: f.settings.Regions[s.Zone], CapacityTokens: s.Tokens,
+			TransferMSPerToken: table.TokenBytes() / s.Rate * msPerSecond,
 		})
 	}
 	return list
@@ -224,7 +224,7 @@
 func (f *Front) placementTarget(t fleet.Target) placement.Target {
 	return placement.Target{
 		ID: t.ID, Address: t.Address, Zone: t.Zone, Region: f.settings.Regions[t.Zone],
-		Closed: t.Draining, Gone: t.Draining, Weights: t.Weights, Started: t.Started,
+		Excluded: t.Draining, Terminating: t.Draining, Weights: t.Weights, Started: t.Started,
 	}
 }
 
--- a/internal/edge/frontsync_test.go
+++ b/internal/edge/frontsync_test.go
@@ -12,7 +12,7 @@
 // Guards against a front that counts its keys as confirmed although it could not
 // decode the document that withdraws one.
 func TestUndecodableDocumentIsNotConfirmed(t *testing.T) {
-	f := newFront(Settings{VM: "f", Bounds: testBounds()}, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON})
+	f := newFront(Settings{VM: "f", Guarantees: testGuarantees()}, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON})
 	f.applyResponse(time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, RawDocument: documentWithKey(1, "k1")})
 	f.applyResponse(2*time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 2, RawDocument: []byte("{")})
 	state := f.state.Load()
--- a/internal/edge/identity.go
+++ b/internal/edge/identity.go
@@ -22,7 +22,7 @@
 	stored, err := os.ReadFile(filepath.Join(s.DataFolder, identityFile))
 	if err == nil && len(strings.TrimSpace(string(stored))) > 0 {
 		id = strings.TrimSpace(string(stored))
-		if !bootstrap.Voter(id) {
+		if !bootstrap.IsVoter(id) {
 			bootstrap = nil
 		}
 		return id, bootstrap, nil
@@ -31,7 +31,7 @@
 		return "", nil, err
 	}
 	id = s.selfPeerAddress()
-	if !s.FirstStart || !bootstrap.Voter(id) {
+	if !s.FirstStart || !bootstrap.IsVoter(id) {
 		id = s.selfPeerAddress() + "/" + randomSuffix()
 		bootstrap = nil
 	}
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -45,16 +45,16 @@
 	DataFolder string
 	// MemoryBytes is the memory that the process may use.
 	MemoryBytes int64
-	Bounds      Bounds
+	Guarantees  Guarantees
 }
 
-// Bounds are the time and rate limits that a deployment guarantees.
-type Bounds struct {
-	// Grace is the grace period: the time from SIGTERM to SIGKILL.
-	Grace time.Duration
-	// Revoke is the time after which a withdrawn key must be rejected, also on
-	// VMs that are partitioned from the core.
-	Revoke time.Duration
+// Guarantees are the time and rate limits that a deployment guarantees.
+type Guarantees struct {
+	// GracePeriod is the grace period: the time from SIGTERM to SIGKILL.
+	GracePeriod time.Duration
+	// KeyRevocation is the time after which a withdrawn key must be rejected,
+	// also on VMs that are partitioned from the core.
+	KeyRevocation time.Duration
 	// RetryRatio and RetrySlack limit the extra attempts sent to a service
 	// within RetryWindow by all VMs together.
 	RetryRatio  float64
@@ -65,9 +65,9 @@
 	// HolderLease is the minimum time between the last order of one holder and
 	// the first order of the next.
 	HolderLease time.Duration
-	// Weights is the time after the replacement of weights from which no
+	// StaleWeights is the time after the replacement of weights from which no
 	// request may start on the old ones.
-	Weights time.Duration
+	StaleWeights time.Duration
 }
 
 // PeerAddress returns the peer address of the VM with the given control address.
--- a/internal/edge/system_test.go
+++ b/internal/edge/system_test.go
@@ -31,20 +31,20 @@
 // The tests in this file run all processes of a deployment in the test process,
 // each on its own loopback address.
 
-// passThroughCodec reads and writes plain headers without a protocol of their
+// headerCodec reads and writes plain headers without a protocol of their
 // own.
-type passThroughCodec struct{}
+type headerCodec struct{}
 
-func (passThroughCodec) Request(h http.Header) (forward.Request, error) {
-	return forward.Request{ID: h.Get("Id"), Key: h.Get("Key"), Limit: 2 * time.Second}, nil
+func (headerCodec) DecodeRequest(h http.Header) (forward.Request, error) {
+	return forward.Request{ID: h.Get("Id"), APIKey: h.Get("Key"), Timeout: 2 * time.Second}, nil
 }
-func (passThroughCodec) Outgoing(caller http.Header, a *forward.Attempt) http.Header {
+func (headerCodec) EncodeAttempt(caller http.Header, a *forward.Attempt) http.Header {
 	return http.Header{"Id": caller["Id"], "Workspace": {a.Workspace}}
 }
-func (passThroughCodec) Answer(_ int, h http.Header, _ string) forward.Answer {
-	return forward.Answer{RequestID: h.Get("Id"), Signed: true}
+func (headerCodec) DecodeResponse(_ int, h http.Header, _ string) forward.Response {
+	return forward.Response{RequestID: h.Get("Id"), Signed: true}
 }
-func (passThroughCodec) Reply(caller, answer http.Header) { caller["Workspace"] = answer["Workspace"] }
+func (headerCodec) CopyResponseHeaders(to, from http.Header) { to["Workspace"] = from["Workspace"] }
 
 func decodeJSON(raw []byte) (*gateway.Document, error) {
 	var d gateway.Document
@@ -117,11 +117,11 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-func testBounds() Bounds {
-	return Bounds{
-		Grace: 8 * time.Second, Revoke: 5 * time.Second, RetryRatio: 0.2, RetrySlack: 56,
-		RetryWindow: 10 * time.Second, Quota: ratelimit.Overshoot{Window: 8 * time.Second, Part: 0.1, Tokens: 10},
-		HolderLease: 3 * time.Second, Weights: 8 * time.Second,
+func testGuarantees() Guarantees {
+	return Guarantees{
+		GracePeriod: 8 * time.Second, KeyRevocation: 5 * time.Second, RetryRatio: 0.2, RetrySlack: 56,
+		RetryWindow: 10 * time.Second, Quota: ratelimit.Overshoot{Window: 8 * time.Second, Fraction: 0.1, Tokens: 10},
+		HolderLease: 3 * time.Second, StaleWeights: 8 * time.Second,
 	}
 }
 
@@ -136,7 +136,7 @@
 		d.cores = append(d.cores, &runningCore{settings: Settings{
 			VM: host, Zone: "z", Region: "r", Regions: map[string]string{"z": "r"}, IP: host,
 			ControlAddress: host + ":" + controlPort, PeerPort: d.port, FirstStart: true,
-			DataFolder: t.TempDir(), Bounds: testBounds(),
+			DataFolder: t.TempDir(), Guarantees: testGuarantees(),
 		}})
 	}
 	for _, c := range d.cores {
@@ -202,7 +202,7 @@
 		Version: version,
 		Routes: []gateway.Route{{
 			Name: "r", Host: "a.example", PathPrefix: "/", Kind: gateway.RunOnce, Timeout: 2 * time.Second,
-			Split: []gateway.Share{{Service: "s", Weight: 1}}, MaxAttempts: 1,
+			Split: []gateway.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 1,
 		}},
 		Services:   []gateway.Service{{Name: "s"}},
 		Workspaces: []gateway.Workspace{{Name: "w", Keys: []string{key}, Rate: 100, Burst: 100}},
@@ -248,12 +248,12 @@
 	s := Settings{
 		VM: host, Zone: "z", Region: "r", Regions: map[string]string{"z": "r"}, IP: host, PeerPort: d.port, MetricsPort: d.metricsPort,
 		FrontAddress: fmt.Sprintf("%s:%d", host, freePort(d.t)), ReadyAddress: fmt.Sprintf("%s:%d", host, freePort(d.t)),
-		Seeds: d.cores[0].settings.Seeds, Bounds: testBounds(),
+		Seeds: d.cores[0].settings.Seeds, Guarantees: testGuarantees(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- RunFront(ctx, s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON, Codec: passThroughCodec{}})
+		done <- RunFront(ctx, s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON, Codec: headerCodec{}})
 	}()
 	d.t.Cleanup(func() {
 		cancel()
@@ -336,7 +336,7 @@
 		if status.ID == oldID {
 			return errors.New("replica has its previous ID")
 		}
-		if !status.Members.Voter(status.ID) || status.Members.Voters() != 3 {
+		if !status.Members.IsVoter(status.ID) || status.Members.VoterCount() != 3 {
 			return fmt.Errorf("members are %v", status.Members)
 		}
 		return nil
@@ -516,7 +516,7 @@
 			if !leading {
 				continue
 			}
-			if total := leader.divider.Totals(boottime.Now())["w"].Spent; total < recorded {
+			if total := leader.allocator.Totals(boottime.Now())["w"].Spent; total < recorded {
 				t.Fatalf("the leader starts with %v spent, %v was recorded", total, recorded)
 			}
 			return nil
--- a/internal/enginemodel/deployments.go
+++ b/internal/enginemodel/deployments.go
@@ -17,7 +17,7 @@
 	}
 	large.Workload = Workload{
 		Shares: []float64{0.35, 0.25, 0.18, 0.12, 0.1}, Templates: 6, Documents: 20, Skew: 1.1,
-		RootBlocks: 2, TemplateBlocks: 4, DocumentBlocks: 8, Shift: 60 * time.Second,
+		RootBlocks: 2, TemplateBlocks: 4, DocumentBlocks: 8, HotSetLifetime: 60 * time.Second,
 		OneOff: 0.05, Burst: 0.15, OutputTokens: 100,
 	}
 	small := large
--- a/internal/enginemodel/policy.go
+++ b/internal/enginemodel/policy.go
@@ -31,8 +31,8 @@
 	{"cuminwing", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true, owners: true, peers: true}) }},
 }
 
-// Parts lists variants of the picker that lack some of its inputs.
-var Parts = []Policy{
+// Ablations lists variants of the picker that lack some of its inputs.
+var Ablations = []Policy{
 	{"all", Policies[4].build},
 	{"without the dispatches of other VMs", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true, owners: true}) }},
 	{"without the owners of chains", func(s *simulation) policy { return newPickerPolicy(s, inputs{index: true, peers: true}) }},
@@ -129,7 +129,7 @@
 	vms      []pickerVM
 	// sharedIndex stands for the indexes of all chain owners.
 	sharedIndex *prefix.Index
-	intents     *prefix.Intents
+	coalescer   *prefix.Coalescer
 	streams     map[target.Ref]uint64
 	lastStream  uint64
 }
@@ -141,7 +141,7 @@
 }
 
 func newPickerPolicy(s *simulation, enabled inputs) policy {
-	p := &pickerPolicy{simulation: s, sharedIndex: prefix.NewIndex(s.clock), intents: prefix.NewIntents(), streams: make(map[target.Ref]uint64)}
+	p := &pickerPolicy{simulation: s, sharedIndex: prefix.NewIndex(s.clock), coalescer: prefix.NewCoalescer(), streams: make(map[target.Ref]uint64)}
 	document := config.Document{Models: map[string]config.Model{model: {
 		ServingVersion: version, BlockTokens: s.config.BlockTokens, PrefillTokensPerSecond: s.config.PrefillTokensPerSecond,
 	}}}
@@ -152,10 +152,10 @@
 		if enabled.index {
 			vm.prefixPicker = &routing.Picker{
 				Registry: vm.registry, Clock: s.clock, Rand: rng, Index: prefix.NewIndex(s.clock),
-				Dispatched: p.onDispatch(i, enabled.peers), Zone: vmZone(i), Region: region,
+				OnDispatch: p.onDispatch(i, enabled.peers), Zone: vmZone(i), Region: region,
 			}
 			if enabled.owners {
-				vm.prefixPicker.Remote = p
+				vm.prefixPicker.OwnerLookup = p
 			}
 		} else {
 			vm.leastOutstanding = &routing.LeastOutstanding{Registry: vm.registry, Clock: s.clock, Rand: rng}
@@ -170,10 +170,10 @@
 const tickInterval = 200 * time.Millisecond
 
 func (p *pickerPolicy) tickIndexes() {
-	p.sharedIndex.Tick()
+	p.sharedIndex.RemoveExpired()
 	for _, vm := range p.vms {
 		if vm.prefixPicker != nil {
-			vm.prefixPicker.Index.Tick()
+			vm.prefixPicker.Index.RemoveExpired()
 		}
 	}
 	p.scheduleAfter(tickInterval, p.tickIndexes)
@@ -186,8 +186,8 @@
 		req.Exclude = append(req.Exclude, e.ref())
 	}
 	vm := p.vms[r.vm]
-	if vm.prefixPicker != nil && vm.prefixPicker.Remote != nil && !r.waitedForPlacement {
-		r.waitedForPlacement = p.intents.Begin(r.chain, p.sharedIndex.Longest(r.chain), p.clock()) != nil
+	if vm.prefixPicker != nil && vm.prefixPicker.OwnerLookup != nil && !r.waitedForPlacement {
+		r.waitedForPlacement = p.coalescer.Begin(r.chain, p.sharedIndex.LongestMatch(r.chain), p.clock()) != nil
 		if r.waitedForPlacement {
 			return nil, p.config.PublishLag
 		}
@@ -209,7 +209,7 @@
 // onAnnouncement implements observer.
 func (p *pickerPolicy) onAnnouncement(a target.Announcement) {
 	for _, vm := range p.vms {
-		if vm.registry.Announce(a, p.clock()) == target.Replaced && vm.prefixPicker != nil {
+		if vm.registry.MergeAnnouncement(a, p.clock()) == target.Replaced && vm.prefixPicker != nil {
 			vm.prefixPicker.Index.Drop(target.Ref{ID: a.ID, Incarnation: a.Incarnation - 1})
 		}
 	}
@@ -233,12 +233,12 @@
 		content := e.cache.hashes()
 		p.scheduleAfter(p.config.PublishLag, func() {
 			p.streams[ref] = stream
-			p.sharedIndex.Apply(prefix.Batch{Ref: ref, Stream: stream, Reset: true, Through: through, Events: []prefix.Event{{Kind: prefix.Stored, Blocks: content}}})
+			p.sharedIndex.Apply(prefix.Batch{Ref: ref, Stream: stream, Reset: true, LastSequence: through, Events: []prefix.Event{{Kind: prefix.Stored, Blocks: content}}})
 		})
 	}
 }
 
-// Lookup implements routing.Lookup.
+// Lookup implements routing.OwnerLookup.
 func (p *pickerPolicy) Lookup(_ context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
 	return p.sharedIndex.Lookup(nil, chain), true
 }
@@ -252,11 +252,11 @@
 				p.sharedIndex.RetractPredicted(d.Ref, d.Chain)
 				return
 			}
-			p.sharedIndex.Predict(d.Ref, d.Chain, d.Held)
-			p.intents.Placed(d.Chain)
+			p.sharedIndex.Predict(d.Ref, d.Chain, d.HeldBlocks)
+			p.coalescer.Complete(d.Chain)
 			for i, other := range p.vms {
 				if tellPeers && i != vm {
-					other.prefixPicker.Elsewhere(d.Ref, d.Work)
+					other.prefixPicker.AddPeerDispatch(d.Ref, d.PrefillTime)
 				}
 			}
 		})
--- a/internal/enginemodel/result.go
+++ b/internal/enginemodel/result.go
@@ -58,20 +58,20 @@
 	r.evictionAgeSum += other.evictionAgeSum
 }
 
-// Measures are the five measures of the design page.
-type Measures struct {
+// Summary holds the five metrics of the design page.
+type Summary struct {
 	// Requests is the number of samples.
 	Requests int
 	// HitRate is the fraction of the prompt tokens that were reused.
 	HitRate float64
 	// P50 and P99 are percentiles of the time to first token.
 	P50, P99 time.Duration
-	// Waste is the fraction of the prompt tokens that were computed although a
-	// live engine held them when the request was placed.
-	Waste float64
-	// WorstWorkspace is the p99 of the worst workspace divided by that of the
-	// median workspace.
-	WorstWorkspace float64
+	// RecomputedFraction is the fraction of the prompt tokens that were
+	// computed although a live engine held them when the request was placed.
+	RecomputedFraction float64
+	// WorstWorkspaceRatio is the p99 of the worst workspace divided by that of
+	// the median workspace.
+	WorstWorkspaceRatio float64
 	// EvictionAge is the mean time between the last use of a block and its
 	// eviction.
 	EvictionAge time.Duration
@@ -79,19 +79,19 @@
 	Refused float64
 }
 
-// Measures computes the measures from the samples.
-func (r *Result) Measures() Measures {
+// Summarize computes the metrics from the samples.
+func (r *Result) Summarize() Summary {
 	all := slices.Concat(r.firstTokens...)
-	m := Measures{Requests: len(all), P50: quantile(all, 0.5), P99: quantile(all, 0.99)}
+	m := Summary{Requests: len(all), P50: quantile(all, 0.5), P99: quantile(all, 0.99)}
 	m.HitRate = float64(r.reusedTokens) / float64(max(1, r.promptTokens))
-	m.Waste = float64(r.wastedTokens) / float64(max(1, r.promptTokens))
+	m.RecomputedFraction = float64(r.wastedTokens) / float64(max(1, r.promptTokens))
 	m.Refused = float64(r.refused) / float64(max(1, len(all)))
 	m.EvictionAge = r.evictionAgeSum / time.Duration(max(1, r.evictions))
 	var tails []time.Duration
 	for _, samples := range r.firstTokens {
 		tails = append(tails, quantile(samples, 0.99))
 	}
-	m.WorstWorkspace = float64(slices.Max(tails)) / float64(max(1, quantile(tails, 0.5)))
+	m.WorstWorkspaceRatio = float64(slices.Max(tails)) / float64(max(1, quantile(tails, 0.5)))
 	return m
 }
 
--- a/internal/enginemodel/workload.go
+++ b/internal/enginemodel/workload.go
@@ -24,8 +24,8 @@
 	// RootBlocks, TemplateBlocks and DocumentBlocks are the mean lengths of the
 	// workspace's instructions, a template and a document.
 	RootBlocks, TemplateBlocks, DocumentBlocks int
-	// Shift is how long a workspace keeps its hot set.
-	Shift time.Duration
+	// HotSetLifetime is how long a workspace keeps its hot set.
+	HotSetLifetime time.Duration
 	// OneOff is the fraction of prompts that share only the instructions with
 	// others.
 	OneOff float64
@@ -83,8 +83,8 @@
 // a workspace change with the epoch; the epochs of different workspaces start
 // at different times.
 func (g *generator) chain(workspace int, at time.Duration) []prefix.Hash {
-	offset := time.Duration(workspace) * g.Shift / time.Duration(len(g.Shares))
-	epoch := uint64((at + offset) / g.Shift)
+	offset := time.Duration(workspace) * g.HotSetLifetime / time.Duration(len(g.Shares))
+	epoch := uint64((at + offset) / g.HotSetLifetime)
 	id := uint64(workspace + 1)
 	chain := extendChain(nil, id, g.RootBlocks)
 	if g.rng.Float64() < g.OneOff {
