--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -48,7 +48,7 @@
 	// Leave is the ID of a target to remove.
 	Leave string `json:"leave,omitempty"`
 	// Weights sets the version that the engines of a model have to run.
-	Weights *Weights `json:"weights,omitempty"`
+	Weights *RequiredWeights `json:"weights,omitempty"`
 	// Updates set or clear the update marks of engines.
 	Updates []UpdateMark `json:"updates,omitempty"`
 	// Spent records what workspaces have spent within the window of their
@@ -56,8 +56,8 @@
 	Spent map[string]ratelimit.Spending `json:"spent,omitempty"`
 }
 
-// Weights is the version of a model that engines have to run.
-type Weights struct {
+// RequiredWeights is the version of a model that engines have to run.
+type RequiredWeights struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
@@ -152,7 +152,7 @@
 	return &c
 }
 
-// Apply implements control.Part.
+// Apply implements control.StateMachine.
 func (r *Registry) Apply(index uint64, _ time.Time, body []byte) []byte {
 	var c Command
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -274,7 +274,7 @@
 	}
 }
 
-func (s *State) setWeights(w Weights) bool {
+func (s *State) setWeights(w RequiredWeights) bool {
 	if w.Version <= s.Weights[w.Model] {
 		return false
 	}
@@ -350,14 +350,14 @@
 	return &s
 }
 
-// Snapshot implements control.Part.
+// Snapshot implements control.StateMachine.
 func (r *Registry) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return json.Marshal(&r.state)
 }
 
-// Restore implements control.Part.
+// Restore implements control.StateMachine.
 func (r *Registry) Restore(data []byte) error {
 	state := emptyState()
 	if err := json.Unmarshal(data, &state); err != nil {
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -111,7 +111,7 @@
 func TestSnapshotKeepsTheRegistry(t *testing.T) {
 	registry := NewRegistry()
 	announce(t, registry, newTarget("a", "10.0.0.1:80", 100))
-	apply(t, registry, Command{Weights: &Weights{Model: "m", Version: 4}})
+	apply(t, registry, Command{Weights: &RequiredWeights{Model: "m", Version: 4}})
 	apply(t, registry, Command{Leave: "a"})
 	data, err := registry.Snapshot()
 	if err != nil {
@@ -131,8 +131,8 @@
 // Guards against a downgrade of the required weights by a repeated command.
 func TestRequiredWeightsOnlyIncrease(t *testing.T) {
 	registry := NewRegistry()
-	apply(t, registry, Command{Weights: &Weights{Model: "m", Version: 4}})
-	apply(t, registry, Command{Weights: &Weights{Model: "m", Version: 3}})
+	apply(t, registry, Command{Weights: &RequiredWeights{Model: "m", Version: 4}})
+	apply(t, registry, Command{Weights: &RequiredWeights{Model: "m", Version: 3}})
 	if got := registry.Current().Weights["m"]; got != 4 {
 		t.Errorf("weights are %d, want 4", got)
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -26,12 +26,12 @@
 // platform package.
 type testCodec struct{}
 
-func (testCodec) Request(h http.Header) (Request, error) {
+func (testCodec) DecodeRequest(h http.Header) (Request, error) {
 	ms, _ := strconv.Atoi(h.Get("Limit"))
-	return Request{ID: h.Get("Id"), Key: h.Get("Key"), Limit: time.Duration(ms) * time.Millisecond}, nil
+	return Request{ID: h.Get("Id"), APIKey: h.Get("Key"), Timeout: time.Duration(ms) * time.Millisecond}, nil
 }
 
-func (testCodec) Outgoing(caller http.Header, a *Attempt) http.Header {
+func (testCodec) EncodeAttempt(caller http.Header, a *Attempt) http.Header {
 	h := http.Header{"Id": caller["Id"], "Target": {a.TargetID}, "Workspace": {a.Workspace}}
 	if a.ResumeAfter != "" {
 		h.Set("After", a.ResumeAfter)
@@ -39,11 +39,11 @@
 	return h
 }
 
-func (testCodec) Answer(status int, h http.Header, _ string) Answer {
-	return Answer{RequestID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != ""}
+func (testCodec) DecodeResponse(status int, h http.Header, _ string) Response {
+	return Response{RequestID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != ""}
 }
 
-func (testCodec) Reply(caller, response http.Header) { caller["Signed"] = response["Signed"] }
+func (testCodec) CopyResponseHeaders(to, from http.Header) { to["Signed"] = from["Signed"] }
 
 // script handles one request on a connection. It reports whether the connection
 // stays open.
@@ -138,7 +138,7 @@
 	handler *Handler
 	mu      sync.Mutex
 	state   State
-	// stateSoon is the result of Handler.StateSoon.
+	// stateSoon is the result of Handler.StateExpected.
 	stateSoon bool
 }
 
@@ -157,7 +157,7 @@
 func newFront(t *testing.T, route gateway.Route, targets ...*scriptedTarget) *front {
 	t.Helper()
 	route.Host, route.PathPrefix, route.Timeout = "a.example", "/", 2*time.Second
-	route.Split = []gateway.Share{{Service: "s", Weight: 1}}
+	route.Split = []gateway.WeightedService{{Service: "s", Weight: 1}}
 	route.MaxAttempts = max(route.MaxAttempts, 1)
 	document := &gateway.Document{
 		Version: 1, Routes: []gateway.Route{route}, Services: []gateway.Service{{Name: "s"}},
@@ -171,11 +171,11 @@
 		list = append(list, placement.Target{ID: fmt.Sprint("t", i), Address: target.address, Zone: "z", Region: []string{"r", "far"}[min(i, 1)]})
 	}
 	placer.Update(map[string][]placement.Target{"s": list})
-	f := &front{state: State{Table: gateway.Compile(document), Fronts: 1}}
+	f := &front{state: State{Table: gateway.Compile(document), FrontCount: 1}}
 	f.handler = &Handler{
 		Codec: testCodec{}, State: f.getState, Placer: placer, Quota: unlimitedQuota{},
 		Budget: &Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, Pool: targetconn.New(), Logger: zap.NewNop(),
-		Boot: func() time.Duration { return 0 }, KeysValid: time.Second, StateSoon: func() bool { return f.stateSoon },
+		BootClock: func() time.Duration { return 0 }, KeyLease: time.Second, StateExpected: func() bool { return f.stateSoon },
 		Stopping: func() bool { return false },
 		Observe:  func(gateway.RunKind, string, time.Duration) {},
 	}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -26,14 +26,14 @@
 	Budget *Budget
 	Pool   *targetconn.Pool
 	Logger *zap.Logger
-	// Boot returns the time of a clock that continues during a suspension.
-	Boot func() time.Duration
-	// KeysValid is how long keys are accepted after the state was last
+	// BootClock returns the time of a clock that continues during a suspension.
+	BootClock func() time.Duration
+	// KeyLease is how long keys are accepted after the state was last
 	// confirmed; 0 means without limit.
-	KeysValid time.Duration
-	// StateSoon reports whether a usable state is expected within about the
+	KeyLease time.Duration
+	// StateExpected reports whether a usable state is expected within about the
 	// duration of an election.
-	StateSoon func() bool
+	StateExpected func() bool
 	// Stopping reports whether this VM is shutting down, so that callers must
 	// move to other VMs.
 	Stopping func() bool
@@ -140,7 +140,7 @@
 // admit decodes the request and checks that it is allowed.
 func (c *call) admit() *refusal {
 	var err error
-	if c.request, err = c.Codec.Request(c.r.Header); err != nil {
+	if c.request, err = c.Codec.DecodeRequest(c.r.Header); err != nil {
 		c.reason = err.Error()
 		return &errMalformedHeaders
 	}
@@ -171,10 +171,10 @@
 // retry only once, and a rejection would use up that retry.
 func (c *call) awaitState() {
 	wait := maxStateWait
-	if c.request.Limit > 0 {
-		wait = min(wait, c.request.Limit/stateWaitDivisor)
+	if c.request.Timeout > 0 {
+		wait = min(wait, c.request.Timeout/stateWaitDivisor)
 	}
-	for until := c.started.Add(wait); time.Now().Before(until) && c.StateSoon(); {
+	for until := c.started.Add(wait); time.Now().Before(until) && c.StateExpected(); {
 		if !c.sleep(statePollInterval) {
 			return
 		}
@@ -186,10 +186,10 @@
 }
 
 func (c *call) authenticate() *refusal {
-	if c.route.Open && c.request.Key == "" {
+	if c.route.Open && c.request.APIKey == "" {
 		return nil
 	}
-	c.workspace = c.state.Table.Owner(c.request.Key)
+	c.workspace = c.state.Table.Owner(c.request.APIKey)
 	if c.workspace == nil {
 		if c.route.Open {
 			return nil
@@ -209,11 +209,11 @@
 // accept keys. A withdrawn key must stop working also on a VM that has lost its
 // connection to the core.
 func (c *call) stateExpired() bool {
-	return c.KeysValid > 0 && c.Boot()-c.state.Confirmed > c.KeysValid
+	return c.KeyLease > 0 && c.BootClock()-c.state.Confirmed > c.KeyLease
 }
 
 func (c *call) setDeadline() {
-	limit := c.request.Limit
+	limit := c.request.Timeout
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
@@ -278,13 +278,13 @@
 	cost := 1.0
 	if c.workspace.TokenUnit {
 		cost = c.workspace.PlainTokens
-		if c.request.Sized {
+		if c.request.HasTokenCounts {
 			cost = float64(c.request.PromptTokens + c.request.OutputTokens)
 		}
 	}
-	wait, ok := c.Quota.Admit(c.Boot(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
+	wait, ok := c.Quota.Admit(c.BootClock(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
 	if !ok && wait <= maxQuotaWait && c.sleep(wait) {
-		wait, ok = c.Quota.Admit(c.Boot(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
+		wait, ok = c.Quota.Admit(c.BootClock(), c.workspace.Name, c.workspace.Rate, c.workspace.Burst, cost)
 	}
 	if !ok {
 		return &refusal{http.StatusTooManyRequests, "quota", wait}
@@ -322,7 +322,7 @@
 			c.addReason(fmt.Sprintf("no usable target among the %d of service %s", total, c.service))
 			return c.endWithoutTarget()
 		}
-		if c.attempts > 0 && !c.Budget.TakeRetry(c.service, time.Now(), c.state.Fronts) {
+		if c.attempts > 0 && !c.Budget.TakeRetry(c.service, time.Now(), c.state.FrontCount) {
 			c.Placer.Done(choice, placement.Canceled)
 			c.addReason("retry budget spent")
 			return c.endWithoutTarget()
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -44,7 +44,7 @@
 	var fields []zap.Field
 	if c.state.Table != nil {
 		fields = append(fields, zap.Uint64("document", c.state.Table.Document.Version),
-			zap.Duration("confirmed_age", c.Boot()-c.state.Confirmed))
+			zap.Duration("confirmed_age", c.BootClock()-c.state.Confirmed))
 	}
 	if c.route != nil {
 		fields = append(fields, zap.String("route", c.route.Name))
--- a/internal/forward/ports.go
+++ b/internal/forward/ports.go
@@ -15,15 +15,15 @@
 type Request struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// Limit is how long the caller waits; 0 if it is not stated.
-	Limit time.Duration
-	// Key is the caller's API key; empty if there is none.
-	Key string
-	// PromptTokens and OutputTokens are the size of a model request. Sized is
-	// false if the size is not stated.
-	PromptTokens int
-	OutputTokens int
-	Sized        bool
+	// Timeout is how long the caller waits; 0 if it is not stated.
+	Timeout time.Duration
+	// APIKey is the caller's API key; empty if there is none.
+	APIKey string
+	// PromptTokens and OutputTokens are the size of a model request.
+	// HasTokenCounts is false if the size is not stated.
+	PromptTokens   int
+	OutputTokens   int
+	HasTokenCounts bool
 	// Parts are the parts of the prompt. The last one belongs to this request
 	// only.
 	Parts []PromptPart
@@ -44,8 +44,8 @@
 	TargetID string
 	// Workspace is the owner of the key; empty if the request has no known key.
 	Workspace string
-	// Limit is the time left for the response.
-	Limit time.Duration
+	// Timeout is the time left for the response.
+	Timeout time.Duration
 	// Priority is the priority of the request; 0 is the highest.
 	Priority int
 	// Scope limits which requests may share cached parts; empty for plain
@@ -64,8 +64,8 @@
 	ResumeAfter string
 }
 
-// Answer is the information in the headers of a target's response.
-type Answer struct {
+// Response is the information in the headers of a target's response.
+type Response struct {
 	RequestID string
 	// Signed is true if the response has the target's signature.
 	Signed bool
@@ -82,13 +82,14 @@
 // Codec translates between headers and the types of this package. It is
 // stateless.
 type Codec interface {
-	Request(h http.Header) (Request, error)
-	// Outgoing returns the headers of an attempt: the caller's headers that are
-	// passed on and those set by the front.
-	Outgoing(caller http.Header, a *Attempt) http.Header
-	Answer(status int, h http.Header, targetID string) Answer
-	// Reply copies the headers of a response that are passed on to the caller.
-	Reply(caller, response http.Header)
+	DecodeRequest(h http.Header) (Request, error)
+	// EncodeAttempt returns the headers of an attempt: the caller's headers
+	// that are passed on and those set by the front.
+	EncodeAttempt(caller http.Header, a *Attempt) http.Header
+	DecodeResponse(status int, h http.Header, targetID string) Response
+	// CopyResponseHeaders copies the headers of a response that are passed on
+	// to the caller.
+	CopyResponseHeaders(caller, response http.Header)
 }
 
 // State is the cluster state that a front uses for a request.
@@ -100,8 +101,8 @@
 	// Confirmed is when a quorum last confirmed this state, on a clock that
 	// continues during a suspension.
 	Confirmed time.Duration
-	// Fronts is the number of VMs that share the retry budgets.
-	Fronts int
+	// FrontCount is the number of VMs that share the retry budgets.
+	FrontCount int
 }
 
 // Quota enforces the rate limits of workspaces, which apply to the fleet as a
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -164,7 +164,7 @@
 func (s *exchange) requestHead() []byte {
 	a := &Attempt{
 		TargetID:    s.choice.Target.ID,
-		Limit:       max(time.Until(s.deadline)-deadlineMargin, time.Millisecond),
+		Timeout:     max(time.Until(s.deadline)-deadlineMargin, time.Millisecond),
 		Priority:    s.priority(),
 		ResumeAfter: s.request.ResumeAfter,
 	}
@@ -182,7 +182,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(s.r.Host)
 	b.WriteString("\r\n")
-	writeHeaders(&b, s.Codec.Outgoing(s.r.Header, a))
+	writeHeaders(&b, s.Codec.EncodeAttempt(s.r.Header, a))
 	if len(s.body) > 0 || s.r.Method != http.MethodGet && s.r.Method != http.MethodHead {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(s.body)))
@@ -275,25 +275,25 @@
 
 // readResponse returns the response to this request. Responses to earlier
 // requests on the connection have another request ID and are skipped.
-func (s *exchange) readResponse() (*http.Response, Answer, error) {
+func (s *exchange) readResponse() (*http.Response, Response, error) {
 	for range maxStrayResponses {
 		resp, err := http.ReadResponse(s.conn.Reader, &http.Request{Method: s.r.Method})
 		if err != nil {
-			return nil, Answer{}, err
+			return nil, Response{}, err
 		}
-		meta := s.Codec.Answer(resp.StatusCode, resp.Header, s.choice.Target.ID)
+		meta := s.Codec.DecodeResponse(resp.StatusCode, resp.Header, s.choice.Target.ID)
 		if meta.RequestID == s.request.ID || meta.RequestID == "" && meta.NotRun {
 			return resp, meta, nil
 		}
 		s.Logger.Info("skipped response to an earlier request on the same connection")
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
-			return nil, Answer{}, err
+			return nil, Response{}, err
 		}
 		if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			break
 		}
 	}
-	return nil, Answer{}, errors.New("target sent only responses to other requests")
+	return nil, Response{}, errors.New("target sent only responses to other requests")
 }
 
 // discard reads the rest of a response that the caller does not get, so that
@@ -314,7 +314,7 @@
 }
 
 // forwardBuffered reads the complete response before the caller gets any of it.
-func (s *exchange) forwardBuffered(resp *http.Response, meta Answer) result {
+func (s *exchange) forwardBuffered(resp *http.Response, meta Response) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		s.reason = "reading response body failed: " + err.Error()
@@ -353,7 +353,7 @@
 }
 
 func (b *bufferedResponse) write(c *call) {
-	c.Codec.Reply(c.w.Header(), b.header)
+	c.Codec.CopyResponseHeaders(c.w.Header(), b.header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
 	c.firstByteAfter = time.Since(c.started)
 	c.w.WriteHeader(b.status)
@@ -362,7 +362,7 @@
 }
 
 // forwardStream passes on the events of a stream as they arrive.
-func (s *exchange) forwardStream(resp *http.Response, meta Answer) result {
+func (s *exchange) forwardStream(resp *http.Response, meta Response) result {
 	if !meta.Signed {
 		s.reason = "response without the target's signature"
 		return resultBroken
@@ -395,7 +395,7 @@
 }
 
 func (s *exchange) beginStream(resp *http.Response) {
-	s.Codec.Reply(s.w.Header(), resp.Header)
+	s.Codec.CopyResponseHeaders(s.w.Header(), resp.Header)
 	s.w.WriteHeader(resp.StatusCode)
 	s.headersSent = true
 	s.firstByteAfter = time.Since(s.started)
--- a/internal/gateway/document.go
+++ b/internal/gateway/document.go
@@ -25,8 +25,8 @@
 	RunStream
 )
 
-// Share is the weight of one service in the traffic split of a route.
-type Share struct {
+// WeightedService is the weight of one service in the traffic split of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -47,7 +47,7 @@
 	MaxPause time.Duration
 	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	Split    []Share
+	Split    []WeightedService
 	// MaxAttempts limits the number of targets that may run one request.
 	MaxAttempts int
 	// Open routes require no key.
@@ -64,8 +64,8 @@
 	return r.Kind == RunIdempotent || r.Kind == RunStream && r.Resumable
 }
 
-// EngineLimits describes the engines of a service.
-type EngineLimits struct {
+// Engine describes the engines of a service.
+type Engine struct {
 	// CacheTokens is the memory for running requests and cached parts, in
 	// tokens.
 	CacheTokens int
@@ -92,7 +92,7 @@
 	// together.
 	MaxConnections int
 	// Engine is nil for a plain service.
-	Engine *EngineLimits
+	Engine *Engine
 	// Store is set if the service is a store for KV cache.
 	Store *Store
 }
--- a/internal/gateway/document_test.go
+++ b/internal/gateway/document_test.go
@@ -10,9 +10,9 @@
 	return &Document{
 		Version: 3,
 		Routes: []Route{
-			{Name: "all", Host: "a.example", PathPrefix: "/", Timeout: time.Second, Split: []Share{{"s", 1}}},
-			{Name: "deep", Host: "a.example", PathPrefix: "/x/y/", Timeout: time.Second, Split: []Share{{"s", 0}, {"t", 3}}},
-			{Name: "mid", Host: "a.example", PathPrefix: "/x/", Timeout: time.Second, Split: []Share{{"s", 1}, {"t", 1}}},
+			{Name: "all", Host: "a.example", PathPrefix: "/", Timeout: time.Second, Split: []WeightedService{{"s", 1}}},
+			{Name: "deep", Host: "a.example", PathPrefix: "/x/y/", Timeout: time.Second, Split: []WeightedService{{"s", 0}, {"t", 3}}},
+			{Name: "mid", Host: "a.example", PathPrefix: "/x/", Timeout: time.Second, Split: []WeightedService{{"s", 1}, {"t", 1}}},
 		},
 		Services:   []Service{{Name: "s"}, {Name: "t"}},
 		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}, {Name: "v", Keys: []string{"k3"}}},
@@ -83,14 +83,14 @@
 // Guards against applying a lower version, or different content under the
 // current version.
 func TestTheHighestVersionWins(t *testing.T) {
-	var p Part
+	var p StateMachine
 	changes := 0
 	p.OnChange = func() { changes++ }
 	for _, put := range []struct {
 		version uint64
 		raw     string
 	}{{5, "five"}, {4, "four"}, {5, "other"}, {9, "nine"}, {7, "seven"}} {
-		p.Apply(1, time.Time{}, EncodePut(put.version, []byte(put.raw)))
+		p.Apply(1, time.Time{}, EncodeProposal(put.version, []byte(put.raw)))
 	}
 	if got := p.Current(); got.Version != 9 || string(got.Raw) != "nine" || changes != 2 {
 		t.Errorf("got version %d with content %q after %d changes, want 9 with \"nine\" after 2", got.Version, got.Raw, changes)
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var restored Part
+	var restored StateMachine
 	if err := restored.Restore(data); err != nil || string(restored.Current().Raw) != "nine" {
 		t.Errorf("restored %+v, error %v; want content \"nine\"", restored.Current(), err)
 	}
--- a/internal/idempotency/client.go
+++ b/internal/idempotency/client.go
@@ -25,7 +25,7 @@
 	maxBackoff     = time.Second
 )
 
-// Client implements serving.Claims on the control log.
+// Client implements serving.ClaimStore on the control log.
 type Client struct {
 	// Log returns the control log, or nil while there is none.
 	Log func() control.Log
@@ -35,17 +35,17 @@
 	Background func(f func(ctx context.Context))
 }
 
-var _ serving.Claims = (*Client)(nil)
+var _ serving.ClaimStore = (*Client)(nil)
 
 var (
 	errNoLog   = errors.New("control log is not available")
 	errRefused = errors.New("at-most-once record belongs to another request")
 )
 
-// Claim implements serving.Claims. If the answer of the log is lost, it proposes
-// the claim again with the same request ID, which returns the existing claim if it
-// was committed.
-func (c *Client) Claim(ctx context.Context, claim serving.Claim) (serving.ClaimStatus, serving.StoredAnswer) {
+// Claim implements serving.ClaimStore. If the answer of the log is lost, it
+// proposes the claim again with the same request ID, which returns the existing
+// claim if it was committed.
+func (c *Client) Claim(ctx context.Context, claim serving.Claim) (serving.ClaimStatus, serving.StoredResponse) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	body := encodeClaim(claim)
@@ -56,15 +56,15 @@
 			if status, known := claimStatus(result.GetOutcome()); known {
 				return status, storedAnswer(result.GetAnswer())
 			}
-			return serving.ClaimUncertain, serving.StoredAnswer{}
+			return serving.ClaimUncertain, serving.StoredResponse{}
 		}
 		if errors.Is(err, control.ErrNotCommitted) && !uncertain {
-			return serving.ClaimUnreachable, serving.StoredAnswer{}
+			return serving.ClaimUnreachable, serving.StoredResponse{}
 		}
 		uncertain = true
 		if !c.Pause(ctx, backoff) {
 			c.abandon(claim)
-			return serving.ClaimUncertain, serving.StoredAnswer{}
+			return serving.ClaimUncertain, serving.StoredResponse{}
 		}
 	}
 }
@@ -91,9 +91,9 @@
 	return serving.ClaimUncertain, false
 }
 
-// Complete implements serving.Claims. If ctx ends first, it continues in the
+// Complete implements serving.ClaimStore. If ctx ends first, it continues in the
 // background, because resends get "unknown" until the outcome is recorded.
-func (c *Client) Complete(ctx context.Context, claim serving.Claim, answer serving.StoredAnswer) error {
+func (c *Client) Complete(ctx context.Context, claim serving.Claim, answer serving.StoredResponse) error {
 	return c.settle(ctx, &claimsv1.Command{Body: &claimsv1.Command_Complete{Complete: &claimsv1.Complete{
 		Record:    recordName(claim),
 		RequestId: claim.RequestID,
@@ -106,7 +106,7 @@
 	}}})
 }
 
-// Release implements serving.Claims. If ctx ends first, it continues in the
+// Release implements serving.ClaimStore. If ctx ends first, it continues in the
 // background like Complete.
 func (c *Client) Release(ctx context.Context, claim serving.Claim) error {
 	return c.settle(ctx, releaseCommand(claim))
@@ -196,8 +196,8 @@
 	return h.Sum(nil)
 }
 
-func storedAnswer(a *claimsv1.Answer) serving.StoredAnswer {
-	return serving.StoredAnswer{
+func storedAnswer(a *claimsv1.Answer) serving.StoredResponse {
+	return serving.StoredResponse{
 		Status:      int(a.GetStatus()),
 		ContentType: a.GetContentType(),
 		Body:        a.GetBody(),
--- a/internal/idempotency/part.go
+++ b/internal/idempotency/part.go
@@ -1,6 +1,6 @@
-// Package idempotency keeps the records of at-most-once requests. Part is the
-// replicated state that holds them; Client claims, completes and releases them
-// through the control log. The package does no I/O.
+// Package idempotency keeps the records of at-most-once requests. StateMachine
+// is the replicated state that holds them; Client claims, completes and
+// releases them through the control log. The package does no I/O.
 package idempotency
 
 import (
@@ -25,9 +25,9 @@
 // recordNameBytes is the length of a record's name, a SHA-256 hash.
 const recordNameBytes = 32
 
-// Part is the replicated state of at-most-once requests. It is not safe for
-// concurrent use and belongs to the goroutine that applies the log.
-type Part struct {
+// StateMachine is the replicated state of at-most-once requests. It is not safe
+// for concurrent use and belongs to the goroutine that applies the log.
+type StateMachine struct {
 	maxStored int
 	records   map[string]*claimsv1.Record
 	expiry    expiryHeap
@@ -37,16 +37,16 @@
 	storedBytes int
 }
 
-var _ control.Part = (*Part)(nil)
+var _ control.StateMachine = (*StateMachine)(nil)
 
-// NewPart returns a Part without records.
-func NewPart() *Part {
-	return &Part{maxStored: maxStoredBytes, records: make(map[string]*claimsv1.Record)}
+// NewStateMachine returns a StateMachine without records.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{maxStored: maxStoredBytes, records: make(map[string]*claimsv1.Record)}
 }
 
-// Apply implements control.Part. It returns an encoded Result, whose outcome is
-// OUTCOME_UNSPECIFIED if the command is malformed.
-func (p *Part) Apply(index uint64, now time.Time, body []byte) []byte {
+// Apply implements control.StateMachine. It returns an encoded Result, whose
+// outcome is OUTCOME_UNSPECIFIED if the command is malformed.
+func (p *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
 	p.expire(now)
 	var command claimsv1.Command
 	result := &claimsv1.Result{}
@@ -58,7 +58,7 @@
 	return encoded
 }
 
-func (p *Part) execute(index uint64, now time.Time, command *claimsv1.Command) *claimsv1.Result {
+func (p *StateMachine) execute(index uint64, now time.Time, command *claimsv1.Command) *claimsv1.Result {
 	switch c := command.GetBody().(type) {
 	case *claimsv1.Command_Claim:
 		if len(c.Claim.GetRecord()) == recordNameBytes && c.Claim.GetRequestId() != "" {
@@ -76,7 +76,7 @@
 
 func outcome(o claimsv1.Outcome) *claimsv1.Result { return &claimsv1.Result{Outcome: o} }
 
-func (p *Part) claim(now time.Time, c *claimsv1.Claim) *claimsv1.Result {
+func (p *StateMachine) claim(now time.Time, c *claimsv1.Claim) *claimsv1.Result {
 	r, known := p.records[string(c.GetRecord())]
 	if !known || r.GetState() == claimsv1.State_STATE_RELEASED && r.GetRequestId() != c.GetRequestId() {
 		p.putRecord(&claimsv1.Record{
@@ -104,7 +104,7 @@
 	return outcome(claimsv1.Outcome_OUTCOME_PENDING)
 }
 
-func (p *Part) complete(index uint64, c *claimsv1.Complete) *claimsv1.Result {
+func (p *StateMachine) complete(index uint64, c *claimsv1.Complete) *claimsv1.Result {
 	r, known := p.records[string(c.GetRecord())]
 	if !known || r.GetRequestId() != c.GetRequestId() || r.GetState() == claimsv1.State_STATE_RELEASED {
 		return outcome(claimsv1.Outcome_OUTCOME_REFUSED)
@@ -123,7 +123,7 @@
 // release also creates a released record if none exists: a claim whose answer was
 // lost may still be in flight and must not be granted after its request has
 // abandoned it.
-func (p *Part) release(now time.Time, c *claimsv1.Release) *claimsv1.Result {
+func (p *StateMachine) release(now time.Time, c *claimsv1.Release) *claimsv1.Result {
 	r, known := p.records[string(c.GetRecord())]
 	switch {
 	case !known:
@@ -139,13 +139,13 @@
 	return outcome(claimsv1.Outcome_OUTCOME_ACCEPTED)
 }
 
-func (p *Part) putRecord(r *claimsv1.Record) {
+func (p *StateMachine) putRecord(r *claimsv1.Record) {
 	name := string(r.GetRecord())
 	p.records[name] = r
 	heap.Push(&p.expiry, expiryEntry{r.GetExpiresUnixMs(), name})
 }
 
-func (p *Part) expire(now time.Time) {
+func (p *StateMachine) expire(now time.Time) {
 	limit := now.UnixMilli()
 	for len(p.expiry) > 0 && p.expiry[0].at <= limit {
 		due := heap.Pop(&p.expiry).(expiryEntry)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (p *Part) evictBodies() {
+func (p *StateMachine) evictBodies() {
 	for p.storedBytes > p.maxStored && len(p.withBody) > 0 {
 		name := p.withBody[0]
 		p.withBody = p.withBody[1:]
@@ -170,8 +170,8 @@
 	}
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
+// Snapshot implements control.StateMachine.
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	snapshot := &claimsv1.Snapshot{Records: make([]*claimsv1.Record, 0, len(p.records))}
 	for _, r := range p.records {
 		snapshot.Records = append(snapshot.Records, r)
@@ -182,13 +182,13 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine.
+func (p *StateMachine) Restore(data []byte) error {
 	var snapshot claimsv1.Snapshot
 	if err := proto.Unmarshal(data, &snapshot); err != nil {
 		return fmt.Errorf("decode snapshot of at-most-once records: %w", err)
 	}
-	restored := &Part{maxStored: p.maxStored, records: make(map[string]*claimsv1.Record, len(snapshot.GetRecords()))}
+	restored := &StateMachine{maxStored: p.maxStored, records: make(map[string]*claimsv1.Record, len(snapshot.GetRecords()))}
 	for _, r := range snapshot.GetRecords() {
 		restored.putRecord(r)
 		if body := r.GetAnswer().GetBody(); len(body) > 0 {
@@ -204,7 +204,7 @@
 }
 
 // Len returns the number of records.
-func (p *Part) Len() int { return len(p.records) }
+func (p *StateMachine) Len() int { return len(p.records) }
 
 // expiryEntry is the expiry time of a record.
 type expiryEntry struct {
--- a/internal/idempotency/part_test.go
+++ b/internal/idempotency/part_test.go
@@ -15,7 +15,7 @@
 	return serving.Claim{Workspace: "yards", Key: key, BodyHash: [32]byte{hash}, RequestID: request, Retention: time.Hour}
 }
 
-func applyClaim(t *testing.T, p *Part, now time.Time, c serving.Claim) *claimsv1.Result {
+func applyClaim(t *testing.T, p *StateMachine, now time.Time, c serving.Claim) *claimsv1.Result {
 	t.Helper()
 	return decode(t, p.Apply(1, now, encodeClaim(c)))
 }
@@ -29,7 +29,7 @@
 	return &r
 }
 
-func applyComplete(p *Part, index uint64, c serving.Claim, body []byte) {
+func applyComplete(p *StateMachine, index uint64, c serving.Claim, body []byte) {
 	data, _ := proto.Marshal(&claimsv1.Command{Body: &claimsv1.Command_Complete{Complete: &claimsv1.Complete{
 		Record: recordName(c), RequestId: c.RequestID, Answer: &claimsv1.Answer{Status: 200, Body: body},
 	}}})
@@ -39,7 +39,7 @@
 // Guards against records that are removed before they expire, never removed, or
 // reused for another request.
 func TestRecordLifecycle(t *testing.T) {
-	p := NewPart()
+	p := NewStateMachine()
 	start := time.UnixMilli(1000)
 	first := claimBy("r1", "k", 1)
 	for _, step := range []struct {
@@ -66,20 +66,20 @@
 // Guards against a voter that runs out of memory because of stored answers, and
 // against a voter whose state differs after it is restored from a snapshot.
 func TestStoredBodiesAreBounded(t *testing.T) {
-	p := NewPart()
+	p := NewStateMachine()
 	p.maxStored = 100
 	now := time.UnixMilli(0)
 	for i, key := range []string{"a", "b", "c"} {
 		applyClaim(t, p, now, claimBy("r", key, 1))
 		applyComplete(p, uint64(i), claimBy("r", key, 1), bytes.Repeat([]byte{'x'}, 40))
 	}
-	restored := NewPart()
+	restored := NewStateMachine()
 	restored.maxStored = 100
 	data, _ := p.Snapshot()
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []*Part{p, restored} {
+	for _, part := range []*StateMachine{p, restored} {
 		oldest := applyClaim(t, part, now, claimBy("x", "a", 1))
 		newest := applyClaim(t, part, now, claimBy("x", "c", 1))
 		if !oldest.GetAnswer().GetTruncated() || len(newest.GetAnswer().GetBody()) != 40 || part.storedBytes != 80 {
@@ -92,7 +92,7 @@
 func FuzzApply(f *testing.F) {
 	f.Add(encodeClaim(claimBy("r", "k", 1)))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := NewPart()
+		p := NewStateMachine()
 		p.Apply(1, time.UnixMilli(1), data)
 		p.Apply(2, time.UnixMilli(2), data)
 		if p.Restore(data) == nil {
--- a/internal/idempotency/schedule_test.go
+++ b/internal/idempotency/schedule_test.go
@@ -27,7 +27,7 @@
 // and requests with the same key that fail, crash and are resent at any point.
 type simulation struct {
 	t          *rapid.T
-	machine    *control.Machine
+	machine    *control.CompositeStateMachine
 	index      uint64
 	now        time.Time
 	delayed    [][]byte
@@ -73,8 +73,8 @@
 	}
 }
 
-func newMachine() *control.Machine {
-	return control.NewMachine(map[control.Kind]control.Part{control.KindClaims: NewPart()})
+func newMachine() *control.CompositeStateMachine {
+	return control.NewCompositeStateMachine(map[control.Kind]control.StateMachine{control.KindClaims: NewStateMachine()})
 }
 
 func (s *simulation) apply(body []byte) []byte {
@@ -124,8 +124,8 @@
 	return answer, nil
 }
 
-// Do implements serving.Services.
-func (s *simulation) Do(_ context.Context, _ *target.Target, call *serving.Call, _ serving.ServiceRequest) (*serving.ServiceAnswer, error) {
+// Do implements serving.ServiceClient.
+func (s *simulation) Do(_ context.Context, _ *target.Target, call *serving.Call, _ serving.ServiceRequest) (*serving.ServiceResponse, error) {
 	s.interleave()
 	if s.chance("dial refused", 20) {
 		return nil, &serving.DialError{Err: errors.New("refused")}
@@ -138,7 +138,7 @@
 	if s.chance("connection lost", 15) {
 		return nil, io.ErrUnexpectedEOF
 	}
-	return &serving.ServiceAnswer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done by " + call.ID))}, nil
+	return &serving.ServiceResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done by " + call.ID))}, nil
 }
 
 // Pick implements serving.Picker.
@@ -156,7 +156,7 @@
 	return freeSlot{}, nil
 }
 func (s *simulation) Allow(string, string) bool    { return true }
-func (s *simulation) Finished(string, string)      {}
+func (s *simulation) RecordSuccess(string, string) {}
 func (s *simulation) Observe(serving.Sample)       {}
 func (s *simulation) Record(_ serving.UsageRecord) {}
 
@@ -166,7 +166,7 @@
 		Pause:      func(context.Context, time.Duration) bool { return s.chance("retry", 70) },
 		Background: func(f func(context.Context)) { s.background = append(s.background, f) },
 	}
-	return &serving.Service{Clock: time.Now, Limiter: s, Queue: s, Claims: client, Picker: s, Retries: s, Services: s, Ledger: s, Observer: s}
+	return &serving.Service{Clock: time.Now, Limiter: s, Queue: s, Claims: client, Picker: s, Retries: s, Services: s, UsageRecorder: s, Observer: s}
 }
 
 // responseSink is a serving.ServiceSink that records the response.
--- a/internal/keys/buckets.go
+++ b/internal/keys/buckets.go
@@ -8,7 +8,7 @@
 
 // BucketDigests returns one digest per bucket. Sets with equal content have
 // equal digests.
-func (w *Withdrawn) BucketDigests() [NumBuckets]uint64 {
+func (w *WithdrawnSet) BucketDigests() [NumBuckets]uint64 {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	var digests [NumBuckets]uint64
@@ -20,7 +20,7 @@
 
 // InBuckets returns the hashes of the withdrawn keys that start with one of the
 // given bytes, in no particular order.
-func (w *Withdrawn) InBuckets(first []byte) []Hash {
+func (w *WithdrawnSet) InBuckets(first []byte) []Hash {
 	var selected [NumBuckets]bool
 	for _, b := range first {
 		selected[b] = true
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -34,8 +34,8 @@
 	return Prefix + base64.RawURLEncoding.EncodeToString(buf), nil
 }
 
-// Sum returns the hash of key.
-func Sum(key string) Hash {
+// HashKey returns the hash of key.
+func HashKey(key string) Hash {
 	return sha256.Sum256([]byte(key))
 }
 
--- a/internal/keys/withdrawn.go
+++ b/internal/keys/withdrawn.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// Withdrawn is a grow-only set of the hashes of withdrawn keys. It is safe for
-// concurrent use.
-type Withdrawn struct {
+// WithdrawnSet is a grow-only set of the hashes of withdrawn keys. It is safe
+// for concurrent use.
+type WithdrawnSet struct {
 	mu       sync.RWMutex
 	set      map[Hash]struct{}
 	digest   uint64
@@ -17,9 +17,9 @@
 
 type watcher struct{ cancel context.CancelFunc }
 
-// NewWithdrawn returns an empty set.
-func NewWithdrawn() *Withdrawn {
-	return &Withdrawn{
+// NewWithdrawnSet returns an empty set.
+func NewWithdrawnSet() *WithdrawnSet {
+	return &WithdrawnSet{
 		set:      make(map[Hash]struct{}),
 		watchers: make(map[Hash]map[*watcher]struct{}),
 	}
@@ -27,7 +27,7 @@
 
 // Add adds keys to the set, cancels the contexts that watch them and returns the
 // keys that were not in the set before.
-func (w *Withdrawn) Add(hashes ...Hash) []Hash {
+func (w *WithdrawnSet) Add(hashes ...Hash) []Hash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var added []Hash
@@ -47,7 +47,7 @@
 }
 
 // Contains reports whether the key is withdrawn.
-func (w *Withdrawn) Contains(h Hash) bool {
+func (w *WithdrawnSet) Contains(h Hash) bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	_, ok := w.set[h]
@@ -55,14 +55,14 @@
 }
 
 // Digest returns a digest of the set. Sets with equal content have equal digests.
-func (w *Withdrawn) Digest() uint64 {
+func (w *WithdrawnSet) Digest() uint64 {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.digest
 }
 
 // All returns the withdrawn keys in no particular order.
-func (w *Withdrawn) All() []Hash {
+func (w *WithdrawnSet) All() []Hash {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	out := make([]Hash, 0, len(w.set))
@@ -74,7 +74,7 @@
 
 // Watch returns a context that is cancelled when the key is withdrawn. The caller
 // must call the returned function to release the watch.
-func (w *Withdrawn) Watch(ctx context.Context, h Hash) (context.Context, context.CancelFunc) {
+func (w *WithdrawnSet) Watch(ctx context.Context, h Hash) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	watch := &watcher{cancel: cancel}
 	w.mu.Lock()
@@ -93,7 +93,7 @@
 	}
 }
 
-func (w *Withdrawn) unwatch(h Hash, watch *watcher) {
+func (w *WithdrawnSet) unwatch(h Hash, watch *watcher) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.watchers[h], watch)
--- a/internal/loadgen/profile.go
+++ b/internal/loadgen/profile.go
@@ -175,7 +175,7 @@
 		Run: config.RunAtMostOnce, Class: config.ClassInteractive, CostTokens: 1,
 	}
 	for _, w := range p.Workspaces {
-		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: keys.Sum(w.Key).String()}}}
+		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: keys.HashKey(w.Key).String()}}}
 		rate := p.RequestsPerSecond * w.RequestShare * p.meanRequestTokens() * w.RateFactor
 		d.Rates[w.Name] = config.Rate{RateTokensPerSecond: rate, BurstTokens: max(burstSeconds*rate, 4*p.meanRequestTokens()), MaxWaitMS: 500}
 	}
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -12,11 +12,11 @@
 )
 
 // The ports lie below the range of ephemeral ports, because an outgoing
-// connection could otherwise occupy a port after Address has returned it and
-// before it is used. The ports are divided into blocks. A process reserves a
-// block by listening on the block's last port, so two processes never allocate
-// the same port. A block is large, so that the address of a VM that is down is
-// not allocated again before the VM is restarted.
+// connection could otherwise occupy a port after AllocateAddress has returned
+// it and before it is used. The ports are divided into blocks. A process
+// reserves a block by listening on the block's last port, so two processes
+// never allocate the same port. A block is large, so that the address of a VM
+// that is down is not allocated again before the VM is restarted.
 const (
 	firstPort     = 20000
 	portsPerBlock = 1000
@@ -32,8 +32,8 @@
 
 var errNoPort = errors.New("no free loopback port")
 
-// Address returns a loopback address whose port is free for TCP and UDP.
-func Address() (string, error) {
+// AllocateAddress returns a loopback address whose port is free for TCP and UDP.
+func AllocateAddress() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	if err := reserveBlock(); err != nil {
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -154,7 +154,7 @@
 	c.tickProbe(now)
 	c.tickReconnect(now)
 	c.tickZones(now)
-	for _, d := range c.registry.TakeOwnDrains() {
+	for _, d := range c.registry.TakeLocalDrains() {
 		c.queueDrain(d, true)
 	}
 	c.tickBroadcasts(now)
@@ -182,7 +182,7 @@
 		c.relayProbe(now, from, &m)
 	case KindSyncRequest:
 		c.sendState(now, from, m.Zones)
-		if m.PullBack {
+		if m.SyncBack {
 			c.send(from, Message{Kind: KindSyncRequest, Zones: m.Zones})
 		}
 	}
@@ -217,9 +217,9 @@
 	c.storeSelf(now)
 }
 
-// Announce queues a heartbeat that this VM received directly from a target.
-// Change is the result of merging it into the registry.
-func (c *Core) Announce(a target.Announcement, change target.Change, now time.Time) {
+// BroadcastTarget queues a heartbeat that this VM received directly from a
+// target. Change is the result of merging it into the registry.
+func (c *Core) BroadcastTarget(a target.Announcement, change target.Change, now time.Time) {
 	c.queueTarget(a, change, now)
 }
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -18,13 +18,13 @@
 	}
 	for _, t := range m.Targets {
 		receivedAt := now.Add(-t.Age - hopAllowance)
-		change := c.registry.Announce(t.Announcement, receivedAt)
+		change := c.registry.MergeAnnouncement(t.Announcement, receivedAt)
 		c.queueTarget(t.Announcement, change, receivedAt)
 	}
-	for _, b := range m.Beats {
+	for _, b := range m.Heartbeats {
 		receivedAt := now.Add(-b.Age - hopAllowance)
-		if c.registry.Beat(b.Beat, receivedAt) {
-			c.queueHeartbeat(b.Beat, receivedAt)
+		if c.registry.MergeHeartbeat(b.Heartbeat, receivedAt) {
+			c.queueHeartbeat(b.Heartbeat, receivedAt)
 		}
 	}
 	for i := range m.Digests {
@@ -189,7 +189,7 @@
 	c.send(to, Message{
 		Kind:     KindSyncRequest,
 		Zones:    zones,
-		PullBack: pullBack,
+		SyncBack: pullBack,
 		Updates:  []Update{{Member: c.self}},
 	})
 }
@@ -214,7 +214,7 @@
 		}
 	}
 	for _, t := range c.registry.All() {
-		u := TargetUpdate{Announcement: t.Announcement, Age: now.Sub(t.LastHeard)}
+		u := TargetUpdate{Announcement: t.Announcement, Age: now.Sub(t.LastHeartbeat)}
 		if wanted.contains(t.Announcement.Zone) && !packet.addTarget(u) {
 			flush()
 			packet.addTarget(u)
@@ -255,7 +255,7 @@
 
 func (p *packetBuilder) empty() bool {
 	m := &p.message
-	return len(m.Updates)+len(m.Targets)+len(m.Beats)+len(m.Digests)+len(m.Drains) == 0
+	return len(m.Updates)+len(m.Targets)+len(m.Heartbeats)+len(m.Digests)+len(m.Drains) == 0
 }
 
 func (p *packetBuilder) reserve(size int) bool {
@@ -282,11 +282,11 @@
 	return true
 }
 
-func (p *packetBuilder) addHeartbeat(b BeatUpdate) bool {
+func (p *packetBuilder) addHeartbeat(b HeartbeatUpdate) bool {
 	if !p.reserve(heartbeatBytes) {
 		return false
 	}
-	p.message.Beats = append(p.message.Beats, b)
+	p.message.Heartbeats = append(p.message.Heartbeats, b)
 	return true
 }
 
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -40,15 +40,15 @@
 	// a KindProbe of a delegate, it periodically lists the zones that the
 	// sender knows.
 	Zones []string
-	// PullBack asks the receiver to request the sender's state in turn.
-	PullBack bool
-
-	// Updates, Targets, Beats, Digests and Drains are the gossiped updates.
-	Updates []Update
-	Targets []TargetUpdate
-	Beats   []BeatUpdate
-	Digests []Digest
-	Drains  []target.Drain
+	// SyncBack asks the receiver to request the sender's state in turn.
+	SyncBack bool
+
+	// Updates, Targets, Heartbeats, Digests and Drains are the gossiped updates.
+	Updates    []Update
+	Targets    []TargetUpdate
+	Heartbeats []HeartbeatUpdate
+	Digests    []Digest
+	Drains     []target.Drain
 }
 
 // Update is a gossiped change of a member.
@@ -66,9 +66,9 @@
 	Age time.Duration
 }
 
-// BeatUpdate is a gossiped heartbeat of a known target.
-type BeatUpdate struct {
-	target.Beat
+// HeartbeatUpdate is a gossiped heartbeat of a known target.
+type HeartbeatUpdate struct {
+	target.Heartbeat
 	// Age is the time since a VM received the heartbeat.
 	Age time.Duration
 }
@@ -79,10 +79,10 @@
 	// Zone is the summarised zone.
 	Zone string
 	// VM is the VM that created the digest, Incarnation its incarnation, and
-	// Number the sequence number of the digest within it.
+	// Sequence the number of the digest within it.
 	VM          string
 	Incarnation uint64
-	Number      uint64
+	Sequence    uint64
 	// MembersHash is a hash over the live members and their versions.
 	MembersHash uint64
 	// Targets summarises the targets and confirms which of them are live. Its
@@ -134,9 +134,9 @@
 	return n
 }
 
-// Fits reports whether an announcement fits into one packet. An announcement
-// with dozens of long adapter names may be too large.
-func Fits(a target.Announcement) bool {
+// FitsPacket reports whether an announcement fits into one packet. An
+// announcement with dozens of long adapter names may be too large.
+func FitsPacket(a target.Announcement) bool {
 	return newPacketBuilder(KindGossip).addTarget(TargetUpdate{Announcement: a})
 }
 
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -29,7 +29,7 @@
 
 	update    *Update
 	target    *target.Announcement
-	heartbeat *target.Beat
+	heartbeat *target.Heartbeat
 	digest    *Digest
 	drain     *target.Drain
 }
@@ -88,7 +88,7 @@
 	case target.Refreshed:
 		if a.Zone == c.self.Zone {
 			key := target.Ref{ID: a.ID, Incarnation: a.Incarnation}.Key()
-			c.queueHeartbeat(target.Beat{Key: key, Sequence: a.Sequence, Load: a.Load}, receivedAt)
+			c.queueHeartbeat(target.Heartbeat{Key: key, Sequence: a.Sequence, Load: a.Load}, receivedAt)
 		}
 	default:
 		item := &broadcast{
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *Core) queueHeartbeat(b target.Beat, receivedAt time.Time) {
+func (c *Core) queueHeartbeat(b target.Heartbeat, receivedAt time.Time) {
 	key := "b/" + strconv.FormatUint(b.Key, 16)
 	c.broadcasts[key] = &broadcast{key: key, zoneTransmits: 1, receivedAt: receivedAt, heartbeat: &b}
 }
@@ -217,7 +217,7 @@
 	case i.target != nil:
 		return p.addTarget(TargetUpdate{Announcement: *i.target, Age: age})
 	case i.heartbeat != nil:
-		return p.addHeartbeat(BeatUpdate{Beat: *i.heartbeat, Age: age})
+		return p.addHeartbeat(HeartbeatUpdate{Heartbeat: *i.heartbeat, Age: age})
 	case i.drain != nil:
 		return p.addDrain(*i.drain)
 	}
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -168,7 +168,7 @@
 			return
 		}
 		if v.core != nil {
-			v.core.Announce(a, v.registry.Announce(a, s.now), s.now)
+			v.core.BroadcastTarget(a, v.registry.MergeAnnouncement(a, s.now), s.now)
 		}
 		s.schedule(target.HeartbeatInterval, heartbeat)
 	}
--- a/internal/membership/targets_test.go
+++ b/internal/membership/targets_test.go
@@ -107,7 +107,7 @@
 	s, engines := newTargetSim(t, 13)
 	engines[3](func(*target.Announcement) bool { return false })
 	e, _ := s.vms[0].registry.Get(engineName(3))
-	s.run(e.LastHeard.Add(target.LiveFor).Sub(s.now))
+	s.run(e.LastHeartbeat.Add(target.HeartbeatTimeout).Sub(s.now))
 	if some, _ := s.usable(engineName(3), s.vms); some {
 		t.Fatal("target is usable 3 s after its last heartbeat")
 	}
--- a/internal/membership/zones.go
+++ b/internal/membership/zones.go
@@ -50,7 +50,7 @@
 		Zone:        c.self.Zone,
 		VM:          c.self.VM,
 		Incarnation: c.self.Incarnation,
-		Number:      c.digestNumber,
+		Sequence:    c.digestNumber,
 		MembersHash: c.view(c.self.Zone).hash,
 		Targets:     c.registry.Summarize(c.self.Zone, now),
 	}
@@ -153,7 +153,7 @@
 	}
 	z := c.zone(d.Zone)
 	last := z.sources[d.VM]
-	if d.Incarnation < last.incarnation || d.Incarnation == last.incarnation && d.Number <= last.number {
+	if d.Incarnation < last.incarnation || d.Incarnation == last.incarnation && d.Sequence <= last.number {
 		return
 	}
 	z.lastDigest = now
@@ -175,7 +175,7 @@
 // from the digests for longer than updates take to arrive.
 func (c *Core) compareDigest(now time.Time, from string, d *Digest, same bool) {
 	z := c.zone(d.Zone)
-	source := digestSource{incarnation: d.Incarnation, number: d.Number}
+	source := digestSource{incarnation: d.Incarnation, number: d.Sequence}
 	if !same {
 		source.mismatchSince = z.sources[d.VM].mismatchSince
 		if source.mismatchSince.IsZero() {
--- a/internal/orders/lease.go
+++ b/internal/orders/lease.go
@@ -16,8 +16,8 @@
 // Lease is the order lease as seen by its holder. It permits its holder to send
 // orders to targets.
 type Lease struct {
-	// Fence is the fencing token.
-	Fence uint64
+	// FencingToken is the fencing token.
+	FencingToken uint64
 	// expires is when this VM must stop sending orders, by its own clock.
 	expires time.Time
 	// exclusiveFrom is when the lease of the former holder has expired for
@@ -25,26 +25,27 @@
 	exclusiveFrom time.Time
 }
 
-// Take returns a new lease. Sent is a time before the acquire command was
+// NewLease returns a new lease. Sent is a time before the acquire command was
 // proposed, answered a time after it was committed.
-func Take(fence uint64, sent, answered time.Time) Lease {
+func NewLease(fence uint64, sent, answered time.Time) Lease {
 	// The former holder's last renewal was committed before this command and
 	// proposed even earlier. Either clock may drift by driftPermille.
 	takeoverWait := LeaseDuration * (1000 + 2*driftPermille + 1) / 1000
-	return Lease{Fence: fence, expires: sent.Add(LeaseDuration), exclusiveFrom: answered.Add(takeoverWait)}
+	return Lease{FencingToken: fence, expires: sent.Add(LeaseDuration), exclusiveFrom: answered.Add(takeoverWait)}
 }
 
 // Renew extends the lease after a renewal that was proposed at sent was
 // committed.
 func (l *Lease) Renew(sent time.Time) { l.expires = sent.Add(LeaseDuration) }
 
-// Until returns the expiry time of the lease. No order may be in flight after it.
-func (l *Lease) Until() time.Time { return l.expires }
+// Expiry returns the expiry time of the lease. No order may be in flight after
+// it.
+func (l *Lease) Expiry() time.Time { return l.expires }
 
 // Holds reports whether the lease permits orders to targets that check fencing
 // tokens.
-func (l *Lease) Holds(now time.Time) bool { return l.Fence != 0 && now.Before(l.expires) }
+func (l *Lease) Holds(now time.Time) bool { return l.FencingToken != 0 && now.Before(l.expires) }
 
-// HoldsAlone reports whether the lease permits orders to targets that do not
+// IsExclusive reports whether the lease permits orders to targets that do not
 // check fencing tokens.
-func (l *Lease) HoldsAlone(now time.Time) bool { return l.Holds(now) && !now.Before(l.exclusiveFrom) }
+func (l *Lease) IsExclusive(now time.Time) bool { return l.Holds(now) && !now.Before(l.exclusiveFrom) }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -19,7 +19,7 @@
 type simFleet struct {
 	t            *rapid.T
 	now          time.Time
-	part         *Part
+	stateMachine *StateMachine
 	engines      []*target.Target
 	loadingUntil map[string]time.Time
 	models       map[string]config.Model
@@ -32,7 +32,7 @@
 		f.t.Fatal(err)
 	}
 	var a ordersv1.Answer
-	if err := proto.Unmarshal(f.part.Apply(1, f.now, body), &a); err != nil {
+	if err := proto.Unmarshal(f.stateMachine.Apply(1, f.now, body), &a); err != nil {
 		f.t.Fatal(err)
 	}
 	return a.GetAccepted()
@@ -42,20 +42,20 @@
 	if !f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: &ordersv1.Acquire{Vm: vm, Incarnation: 1}}}) {
 		f.t.Fatal("lease was refused")
 	}
-	return f.part.State().Fence
+	return f.stateMachine.State().FencingToken
 }
 
 // leaderRound runs one planning round of a lease holder. It calls delivered for
 // each open order to decide whether the order reaches its engine.
 func (f *simFleet) leaderRound(fence uint64, delivered func() bool) {
-	plan := Next(f.engines, f.models, f.part.State(), f.now)
+	plan := NextPlan(f.engines, f.models, f.stateMachine.State(), f.now)
 	f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Done, Done: true}}})
 	f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Failed}}})
 	f.propose(&ordersv1.Command{Kind: &ordersv1.Command_Issue{Issue: &ordersv1.Issue{Fence: fence, Orders: plan.Issue}}})
-	if fence != f.part.State().Fence {
+	if fence != f.stateMachine.State().FencingToken {
 		return
 	}
-	for _, o := range f.part.State().Open() {
+	for _, o := range f.stateMachine.State().OpenOrders() {
 		if delivered() {
 			f.execute(o)
 		}
@@ -81,7 +81,7 @@
 	loading, serving := 0, map[string]int{}
 	for i, e := range f.engines {
 		next := *e
-		next.LastHeard = f.now
+		next.LastHeartbeat = f.now
 		next.Loading = e.Loading && f.now.Before(f.loadingUntil[e.ID])
 		f.engines[i] = &next
 		if next.Loading {
@@ -104,11 +104,11 @@
 func newSimFleet(rt *rapid.T) *simFleet {
 	limit := rapid.IntRange(1, 3).Draw(rt, "limit")
 	f := &simFleet{
-		t: rt, now: time.Unix(1_700_000_000, 0), part: NewPart(), loadingUntil: make(map[string]time.Time), limit: limit,
+		t: rt, now: time.Unix(1_700_000_000, 0), stateMachine: NewStateMachine(), loadingUntil: make(map[string]time.Time), limit: limit,
 		models: map[string]config.Model{model: {ServingVersion: "v1", OrderedVersion: "v2", MaxConcurrentLoads: limit}},
 	}
 	for i := range rapid.IntRange(4, 18).Draw(rt, "engines") {
-		f.engines = append(f.engines, &target.Target{LastHeard: f.now, Announcement: target.Announcement{
+		f.engines = append(f.engines, &target.Target{LastHeartbeat: f.now, Announcement: target.Announcement{
 			ID: fmt.Sprintf("e%02d", i), Incarnation: 1, Kind: target.KindEngine, Zone: fmt.Sprintf("z%d", i%2), Model: model, Version: "v1",
 		}})
 	}
@@ -139,8 +139,8 @@
 				fence = f.acquire("vm-2")
 				f.leaderRound(former, lossy)
 			case 1:
-				data, err := f.part.Snapshot()
-				if err != nil || f.part.Restore(data) != nil {
+				data, err := f.stateMachine.Snapshot()
+				if err != nil || f.stateMachine.Restore(data) != nil {
 					rt.Fatal("snapshot", err)
 				}
 			}
@@ -190,7 +190,7 @@
 			rt.Fatal("the former holder renewed the lease")
 		}
 		f.leaderRound(former, func() bool { return true })
-		if n := len(f.part.State().Orders); n != 0 {
+		if n := len(f.stateMachine.State().Orders); n != 0 {
 			rt.Fatalf("the former holder issued %d orders", n)
 		}
 	})
@@ -208,12 +208,12 @@
 		}
 		sent := time.Duration(rapid.IntRange(0, 2000).Draw(rt, "sent")) * time.Millisecond
 		committed := sent + time.Duration(rapid.IntRange(0, 2000).Draw(rt, "takeover"))*time.Millisecond
-		former := Take(1, local(0, oldRate), local(0, oldRate))
+		former := NewLease(1, local(0, oldRate), local(0, oldRate))
 		former.Renew(local(sent, oldRate))
-		holder := Take(2, local(committed, newRate), local(committed, newRate))
+		holder := NewLease(2, local(committed, newRate), local(committed, newRate))
 		for real := committed; real < committed+8*time.Second; real += 5 * time.Millisecond {
 			holder.Renew(local(real, newRate))
-			if former.Holds(local(real, oldRate)) && holder.HoldsAlone(local(real, newRate)) {
+			if former.Holds(local(real, oldRate)) && holder.IsExclusive(local(real, newRate)) {
 				rt.Fatalf("both hold %v after the takeover", real-committed)
 			}
 		}
--- a/internal/orders/part.go
+++ b/internal/orders/part.go
@@ -21,17 +21,17 @@
 
 // State is the order state after one command. Callers must not modify it.
 type State struct {
-	// VM and Incarnation identify the holder of the lease, Fence is its fencing
-	// token.
-	VM          string
-	Incarnation uint64
-	Fence       uint64
+	// VM and Incarnation identify the holder of the lease, FencingToken is its
+	// fencing token.
+	VM           string
+	Incarnation  uint64
+	FencingToken uint64
 	// Orders holds the open and the recently closed orders by ID.
 	Orders map[string]*ordersv1.Order
 }
 
-// Open returns the open orders, sorted by ID.
-func (s *State) Open() []*ordersv1.Order {
+// OpenOrders returns the open orders, sorted by ID.
+func (s *State) OpenOrders() []*ordersv1.Order {
 	var open []*ordersv1.Order
 	for _, o := range s.Orders {
 		if o.GetClosedMs() == 0 {
@@ -42,29 +42,30 @@
 	return open
 }
 
-// Part is the replicated order state. It implements control.Part. State is safe
-// for concurrent use.
-type Part struct{ state atomic.Pointer[State] }
+// StateMachine is the replicated order state. It implements
+// control.StateMachine. State is safe for concurrent use.
+type StateMachine struct{ state atomic.Pointer[State] }
 
-// NewPart returns a Part without a lease holder and without orders.
-func NewPart() *Part {
-	p := &Part{}
+// NewStateMachine returns a StateMachine without a lease holder and without
+// orders.
+func NewStateMachine() *StateMachine {
+	p := &StateMachine{}
 	p.state.Store(&State{Orders: make(map[string]*ordersv1.Order)})
 	return p
 }
 
 // State returns the current state.
-func (p *Part) State() *State { return p.state.Load() }
+func (p *StateMachine) State() *State { return p.state.Load() }
 
-// Apply implements control.Part.
-func (p *Part) Apply(_ uint64, now time.Time, body []byte) []byte {
+// Apply implements control.StateMachine.
+func (p *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
 	var c ordersv1.Command
 	next := p.State().clone(now)
 	accepted := proto.Unmarshal(body, &c) == nil && next.apply(&c, now)
 	if accepted {
 		p.state.Store(next)
 	}
-	answer, err := proto.Marshal(&ordersv1.Answer{Accepted: accepted, Fence: p.State().Fence})
+	answer, err := proto.Marshal(&ordersv1.Answer{Accepted: accepted, Fence: p.State().FencingToken})
 	if err != nil {
 		return nil
 	}
@@ -100,19 +101,19 @@
 // renews it for its holder. Only the leader of the control log requests it. The
 // new holder is responsible for waiting until the former holder has stopped.
 func (s *State) acquire(a *ordersv1.Acquire) bool {
-	holds := s.VM == a.GetVm() && s.Incarnation == a.GetIncarnation() && s.Fence == a.GetFence()
+	holds := s.VM == a.GetVm() && s.Incarnation == a.GetIncarnation() && s.FencingToken == a.GetFence()
 	if a.GetFence() != 0 {
 		return holds
 	}
 	s.VM, s.Incarnation = a.GetVm(), a.GetIncarnation()
-	s.Fence++
+	s.FencingToken++
 	return true
 }
 
 // issue records orders. It ignores orders with a known ID, so that the command
 // may be repeated.
 func (s *State) issue(i *ordersv1.Issue, now time.Time) bool {
-	if i.GetFence() != s.Fence {
+	if i.GetFence() != s.FencingToken {
 		return false
 	}
 	for _, o := range i.GetOrders() {
@@ -126,7 +127,7 @@
 }
 
 func (s *State) closeOrders(c *ordersv1.Close, now time.Time) bool {
-	if c.GetFence() != s.Fence {
+	if c.GetFence() != s.FencingToken {
 		return false
 	}
 	for _, id := range c.GetIds() {
@@ -141,10 +142,10 @@
 	return true
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
+// Snapshot implements control.StateMachine.
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	s := p.State()
-	out := &ordersv1.Snapshot{Vm: s.VM, Incarnation: s.Incarnation, Fence: s.Fence}
+	out := &ordersv1.Snapshot{Vm: s.VM, Incarnation: s.Incarnation, Fence: s.FencingToken}
 	for _, o := range s.Orders {
 		out.Orders = append(out.Orders, o)
 	}
@@ -152,13 +153,13 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(out)
 }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine.
+func (p *StateMachine) Restore(data []byte) error {
 	var in ordersv1.Snapshot
 	if err := proto.Unmarshal(data, &in); err != nil {
 		return fmt.Errorf("decode snapshot of orders: %w", err)
 	}
-	s := &State{VM: in.GetVm(), Incarnation: in.GetIncarnation(), Fence: in.GetFence(), Orders: make(map[string]*ordersv1.Order)}
+	s := &State{VM: in.GetVm(), Incarnation: in.GetIncarnation(), FencingToken: in.GetFence(), Orders: make(map[string]*ordersv1.Order)}
 	for _, o := range in.GetOrders() {
 		s.Orders[o.GetId()] = o
 	}
--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -31,9 +31,9 @@
 	Failed []string
 }
 
-// Next plans the next steps of the rollouts. The result depends only on the
+// NextPlan plans the next steps of the rollouts. The result depends only on the
 // arguments, so that a new leader continues the plan of the former one.
-func Next(targets []*target.Target, models map[string]config.Model, state *State, now time.Time) Plan {
+func NextPlan(targets []*target.Target, models map[string]config.Model, state *State, now time.Time) Plan {
 	p := &planner{
 		now:          now,
 		state:        state,
@@ -65,7 +65,7 @@
 // closeOrders closes the open orders whose version the engine reports as loaded,
 // that belong to a former incarnation, or that have timed out.
 func (p *planner) closeOrders() {
-	for _, o := range p.state.Open() {
+	for _, o := range p.state.OpenOrders() {
 		e, known := p.engines[o.GetTarget()]
 		age := p.now.Sub(time.UnixMilli(o.GetIssuedMs()))
 		switch {
@@ -143,7 +143,7 @@
 		if pendingForModel || e.Loading {
 			loading++
 		}
-		if e.Leaving || e.Draining || p.now.Sub(e.LastHeard) >= target.LiveFor {
+		if e.Leaving || e.Draining || p.now.Sub(e.LastHeartbeat) >= target.HeartbeatTimeout {
 			continue
 		}
 		z := zones[e.Zone]
--- a/internal/placement/hints.go
+++ b/internal/placement/hints.go
@@ -47,16 +47,16 @@
 	return uint32(d.Sum64())
 }
 
-// announceChoice queues a hint about a placed request for the other fronts.
-func (p *Placer) announceChoice(c *Choice, shared []Part) {
+// queueChoiceHint queues a hint about a placed request for the other fronts.
+func (p *Placer) queueChoiceHint(c *Choice, shared []Part) {
 	work := uint16(min(max(c.workMS, 0), unreachableWork-1))
 	blocks := uint16(min(max(c.insertedTokens/blockTokens, 0), math.MaxUint16))
 	p.enqueueHint(c.member, work, blocks, shared, c.SaveTo != "")
 }
 
-// announceUnreachable tells the other fronts that an engine could not be
+// queueUnreachableHint tells the other fronts that an engine could not be
 // reached. Each front finds out by itself when the engine is reachable again.
-func (p *Placer) announceUnreachable(m *member) { p.enqueueHint(m, unreachableWork, 0, nil, false) }
+func (p *Placer) queueUnreachableHint(m *member) { p.enqueueHint(m, unreachableWork, 0, nil, false) }
 
 func (p *Placer) enqueueHint(m *member, work, blocks uint16, shared []Part, saved bool) {
 	n := entryHeaderBytes + partHashBytes*len(shared)
@@ -89,13 +89,13 @@
 	}
 }
 
-// Announcements returns a channel that signals that TakeSent has packets to
+// HintsReady returns a channel that signals that TakeHints has packets to
 // return.
-func (p *Placer) Announcements() <-chan struct{} { return p.hintsReady }
+func (p *Placer) HintsReady() <-chan struct{} { return p.hintsReady }
 
-// TakeSent returns the queued packets for the other fronts and empties the
+// TakeHints returns the queued packets for the other fronts and empties the
 // queue.
-func (p *Placer) TakeSent() [][]byte {
+func (p *Placer) TakeHints() [][]byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	packets := p.outbox
@@ -103,9 +103,9 @@
 	return packets
 }
 
-// Hint applies a packet from another front. A truncated entry and all that
+// ApplyHints applies a packet from another front. A truncated entry and all that
 // follows it are ignored.
-func (p *Placer) Hint(packet []byte) {
+func (p *Placer) ApplyHints(packet []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock()
--- a/internal/placement/home.go
+++ b/internal/placement/home.go
@@ -30,7 +30,7 @@
 // canBeHome reports whether the member is a candidate for the home of a
 // request. Engines with older weights are not, because their cache is lost with
 // the coming weight update.
-func (m *member) canBeHome(r *Request) bool { return !m.Closed && !m.down && m.Weights >= r.Weights }
+func (m *member) canBeHome(r *Request) bool { return !m.Excluded && !m.down && m.Weights >= r.Weights }
 
 // The homes of prompts with the same first part are 1/groupDivisor of the
 // service's engines, but at least minGroupSize.
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -64,22 +64,22 @@
 		m.waitMS, m.waitAt = max(m.currentWait(now), rejectedWaitMS), now
 	case Misdirected:
 		// Exclude the target until the next registry update.
-		m.Closed, m.Gone = true, true
+		m.Excluded, m.Terminating = true, true
 	case Unreachable:
 		m.recordOutcome(now, 1)
 		m.down = true
-		p.announceUnreachable(m)
+		p.queueUnreachableHint(m)
 	}
 }
 
-// Paused returns the open targets that are marked as down.
-func (p *Placer) Paused() []Target {
+// DownTargets returns the open targets that are marked as down.
+func (p *Placer) DownTargets() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Target
 	for _, s := range p.services {
 		for _, m := range s.members {
-			if m.down && !m.Closed {
+			if m.down && !m.Excluded {
 				list = append(list, m.Target)
 			}
 		}
@@ -87,8 +87,8 @@
 	return list
 }
 
-// Reachable records that a connection to the target could be opened.
-func (p *Placer) Reachable(id string) {
+// RecordReachable records that a connection to the target could be opened.
+func (p *Placer) RecordReachable(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.services {
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -66,9 +66,10 @@
 	Address string
 	Zone    string
 	Region  string
-	// Closed targets get no new requests. Gone targets are about to terminate.
-	Closed bool
-	Gone   bool
+	// Excluded targets get no new requests. Terminating ones are about to
+	// terminate.
+	Excluded    bool
+	Terminating bool
 	// Started is the start time of the incarnation: an engine may restart under
 	// the same ID.
 	Started int64
@@ -308,7 +309,7 @@
 	var best *member
 	bestGain := 0.0
 	for _, other := range s.members {
-		if other == m || other.Weights != m.Weights || other.Gone || other.down {
+		if other == m || other.Weights != m.Weights || other.Terminating || other.down {
 			continue
 		}
 		more := other.cachedTokens(req) - cached
@@ -339,7 +340,7 @@
 
 // eligible reports whether the request can be placed at m.
 func eligible(m *member, req *Request, includeDown bool) bool {
-	if m.Closed || m.down && !includeDown {
+	if m.Excluded || m.down && !includeDown {
 		return false
 	}
 	for _, id := range req.Exclude {
@@ -388,7 +389,7 @@
 		p.recordSave(now, m, partHashes(req.sharedParts()), c.insertedTokens)
 	}
 	if len(req.Parts) > 0 {
-		p.announceChoice(c, req.sharedParts())
+		p.queueChoiceHint(c, req.sharedParts())
 	}
 	if len(m.parts) > maxMemberParts {
 		m.evictParts()
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -46,10 +46,10 @@
 // exchangeHints delivers the packets of each front to all others.
 func exchangeHints(fronts []*Placer) {
 	for i, from := range fronts {
-		for _, packet := range from.TakeSent() {
+		for _, packet := range from.TakeHints() {
 			for j, to := range fronts {
 				if i != j {
-					to.Hint(packet)
+					to.ApplyHints(packet)
 				}
 			}
 		}
@@ -168,12 +168,12 @@
 				t.Fatalf("front %d placed a request at the unreachable engine", i)
 			}
 		}
-		if down := p.Paused(); len(down) != 1 || down[0].ID != lost {
+		if down := p.DownTargets(); len(down) != 1 || down[0].ID != lost {
 			t.Fatalf("front %d lists %v as down, want only the unreachable engine", i, down)
 		}
 	}
-	fronts[1].Reachable(lost)
-	if len(fronts[1].Paused()) != 0 {
+	fronts[1].RecordReachable(lost)
+	if len(fronts[1].DownTargets()) != 0 {
 		t.Error("engine is still marked as down after it was reached")
 	}
 	clock.advance(time.Minute)
@@ -228,11 +228,11 @@
 func TestMalformedPacketsAreIgnored(t *testing.T) {
 	p := newTestPlacer(newFakeClock(), 2)
 	mustChoose(t, p, sharedPrompt(1, 1, 1))
-	packet := p.TakeSent()[0]
+	packet := p.TakeHints()[0]
 	for n := range len(packet) {
-		p.Hint(packet[:n])
+		p.ApplyHints(packet[:n])
 	}
-	p.Hint([]byte{1, 2, 3, 4, 5, 6, 7, 8, 255})
+	p.ApplyHints([]byte{1, 2, 3, 4, 5, 6, 7, 8, 255})
 }
 
 // Guards against requests to targets that are draining or whose address now
@@ -248,10 +248,10 @@
 	}
 	targets := testEngines(2, 1)
 	for i := range targets["model"] {
-		targets["model"][i].Closed = true
+		targets["model"][i].Excluded = true
 	}
 	p.Update(targets)
 	if got, known := p.Choose(shortPrompt(9)); got != nil || known != 2 {
-		t.Errorf("chose %v with %d closed targets, want nil with 2", got, known)
+		t.Errorf("chose %v with %d excluded targets, want nil with 2", got, known)
 	}
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -12,10 +12,11 @@
 	Address string
 	Zone    string
 	Region  string
-	// Tokens is the capacity of the store.
-	Tokens int
-	// TokenMS is the transfer time per token within a zone, in milliseconds.
-	TokenMS float64
+	// CapacityTokens is the capacity of the store.
+	CapacityTokens int
+	// TransferMSPerToken is the transfer time per token within a zone, in
+	// milliseconds.
+	TransferMSPerToken float64
 }
 
 // store tracks the parts that a Store is believed to hold. Engines save the
@@ -105,7 +106,7 @@
 
 // mayBeEvicted reports whether the store may no longer hold a part.
 func (s *store) mayBeEvicted(now time.Time, p savedPart) bool {
-	return now.Sub(p.savedAt) > resaveAge || s.insertedTokens-p.insertedTokens > cacheFraction*float64(s.Tokens)
+	return now.Sub(p.savedAt) > resaveAge || s.insertedTokens-p.insertedTokens > cacheFraction*float64(s.CapacityTokens)
 }
 
 // recordSave records that an engine saves the parts of a prompt and prefills
@@ -137,9 +138,9 @@
 // store's region.
 func (s *store) transferMSPerToken(to *member) float64 {
 	if s.Zone == to.Zone {
-		return s.TokenMS
+		return s.TransferMSPerToken
 	}
-	return crossZoneFactor * s.TokenMS
+	return crossZoneFactor * s.TransferMSPerToken
 }
 
 // recordSave records that a prompt was sent to an engine that saves its shared
--- a/internal/placement/store_test.go
+++ b/internal/placement/store_test.go
@@ -12,7 +12,7 @@
 )
 
 func withStore(p *Placer, region string) *Placer {
-	p.UpdateStores([]Store{{Address: storeAddress, Zone: "a", Region: region, Tokens: 720_000, TokenMS: storeTokenMS}})
+	p.UpdateStores([]Store{{Address: storeAddress, Zone: "a", Region: region, CapacityTokens: 720_000, TransferMSPerToken: storeTokenMS}})
 	return p
 }
 
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -41,9 +41,9 @@
 	Stream uint64
 	// Reset starts a stream. The events are the complete content of the cache.
 	Reset bool
-	// Through is the last sequence number that the batch covers. On a reset, the
-	// numbering of the stream continues after it.
-	Through uint64
+	// LastSequence is the last sequence number that the batch covers. On a
+	// reset, the numbering of the stream continues after it.
+	LastSequence uint64
 	// Events are ordered by sequence number.
 	Events []Event
 }
@@ -139,9 +139,9 @@
 		gap = gap || e.Sequence != s.nextSequence
 		s.nextSequence = e.Sequence + 1
 	}
-	if b.Through >= s.nextSequence {
+	if b.LastSequence >= s.nextSequence {
 		gap = true
-		s.nextSequence = b.Through + 1
+		s.nextSequence = b.LastSequence + 1
 	}
 	if gap && s.trustedUntil.IsZero() {
 		s.trustedUntil = x.clock().Add(s.evictionAge)
@@ -197,7 +197,7 @@
 		return false
 	}
 	s := &x.slots[slot]
-	s.stream, s.nextSequence, s.evictionAge = b.Stream, b.Through+1, age
+	s.stream, s.nextSequence, s.evictionAge = b.Stream, b.LastSequence+1, age
 	for h, expiry := range predicted {
 		x.table.add(h, slot)
 		s.predicted[h] = expiry
@@ -366,8 +366,9 @@
 // once, which takes about 0.2 ms.
 const sweepChunk = 8192
 
-// Tick removes expired predictions and the entries of dead incarnations.
-func (x *Index) Tick() {
+// RemoveExpired removes expired predictions and the entries of dead
+// incarnations.
+func (x *Index) RemoveExpired() {
 	for more := true; more; {
 		x.mu.Lock()
 		more = x.sweepStep(sweepChunk)
--- a/internal/prefix/intents.go
+++ b/internal/prefix/intents.go
@@ -9,10 +9,10 @@
 // placement counts as failed. A round trip inside the region takes 1 ms.
 const placementTimeout = 10 * time.Millisecond
 
-// Intents coalesces simultaneous requests for a cold prefix that arrive at
+// Coalescer coalesces simultaneous requests for a cold prefix that arrive at
 // several VMs: the owner of the chain lets the first VM choose a target, and
 // the other VMs wait for that choice. It is safe for concurrent use.
-type Intents struct {
+type Coalescer struct {
 	mu      sync.Mutex
 	pending map[Hash]*placement
 }
@@ -22,14 +22,14 @@
 	done    chan struct{}
 }
 
-// NewIntents returns an Intents without pending placements.
-func NewIntents() *Intents { return &Intents{pending: make(map[Hash]*placement)} }
+// NewCoalescer returns a Coalescer without pending placements.
+func NewCoalescer() *Coalescer { return &Coalescer{pending: make(map[Hash]*placement)} }
 
 // Begin registers the placement of a request for chain, whose first held blocks
 // are held by some target. It returns nil for the first such request, and for
 // later ones a channel that is closed when the first request has been placed or
 // its placement has timed out. It also returns nil if all blocks are held.
-func (i *Intents) Begin(chain []Hash, held int, now time.Time) <-chan struct{} {
+func (i *Coalescer) Begin(chain []Hash, held int, now time.Time) <-chan struct{} {
 	if held >= len(chain) {
 		return nil
 	}
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Placed ends the wait for all blocks of a chain.
-func (i *Intents) Placed(chain []Hash) {
+// Complete ends the wait for all blocks of a chain.
+func (i *Coalescer) Complete(chain []Hash) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if len(i.pending) == 0 {
@@ -62,7 +62,7 @@
 
 // Expire removes placements that did not complete within placementTimeout and
 // ends the wait for them.
-func (i *Intents) Expire(now time.Time) {
+func (i *Coalescer) Expire(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for h, p := range i.pending {
--- a/internal/prefix/match.go
+++ b/internal/prefix/match.go
@@ -59,9 +59,9 @@
 	return dst
 }
 
-// Longest returns the highest number of leading blocks of chain that any target
-// holds.
-func (x *Index) Longest(chain []Hash) int {
+// LongestMatch returns the highest number of leading blocks of chain that any
+// target holds.
+func (x *Index) LongestMatch(chain []Hash) int {
 	var m Match
 	x.Match(&m, chain)
 	return int(slices.Max(m.Blocks[:]))
--- a/internal/prefix/owner.go
+++ b/internal/prefix/owner.go
@@ -6,17 +6,17 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Members is a set of VMs that divides chains and event streams by rendezvous
+// VMSet is a set of VMs that divides chains and event streams by rendezvous
 // hashing. A change of the set reassigns only the chains and streams of the VMs
 // that were added or removed.
-type Members struct {
+type VMSet struct {
 	names  []string
 	hashes []uint64
 }
 
-// NewMembers returns the set of VMs with the given names.
-func NewMembers(names []string) *Members {
-	m := &Members{names: names}
+// NewVMSet returns the set of VMs with the given names.
+func NewVMSet(names []string) *VMSet {
+	m := &VMSet{names: names}
 	for _, name := range names {
 		m.hashes = append(m.hashes, xxhash.Sum64String(name))
 	}
@@ -24,16 +24,16 @@
 }
 
 // Names returns the names of the VMs.
-func (m *Members) Names() []string { return m.names }
+func (m *VMSet) Names() []string { return m.names }
 
 // Owner returns the VM that owns the chains beginning with root, or an empty
 // string if the set is empty.
-func (m *Members) Owner(root Hash) string { return m.highestScore(uint64(root)) }
+func (m *VMSet) Owner(root Hash) string { return m.highestScore(uint64(root)) }
 
 // Reader returns the VM that reads the event stream of a target.
-func (m *Members) Reader(targetID string) string { return m.highestScore(xxhash.Sum64String(targetID)) }
+func (m *VMSet) Reader(targetID string) string { return m.highestScore(xxhash.Sum64String(targetID)) }
 
-func (m *Members) highestScore(key uint64) string {
+func (m *VMSet) highestScore(key uint64) string {
 	best, name := uint64(0), ""
 	for i, h := range m.hashes {
 		if score := splitMix64(h ^ key); name == "" || score > best || (score == best && m.names[i] < name) {
@@ -50,24 +50,25 @@
 	return x ^ x>>31
 }
 
-// Forwarder splits the event stream of one incarnation among the owners of the
-// chains. The events for each owner have their own sequence numbers, so that an
-// owner detects lost batches.
-type Forwarder struct {
+// EventPartitioner splits the event stream of one incarnation among the owners
+// of the chains. The events for each owner have their own sequence numbers, so
+// that an owner detects lost batches.
+type EventPartitioner struct {
 	ref       target.Ref
 	stream    uint64
-	members   *Members
+	members   *VMSet
 	sequences map[string]uint64
 }
 
-// NewForwarder returns a forwarder. A stream number must never be reused.
-func NewForwarder(ref target.Ref, stream uint64, members *Members) *Forwarder {
-	return &Forwarder{ref: ref, stream: stream, members: members, sequences: make(map[string]uint64)}
+// NewEventPartitioner returns a partitioner. A stream number must never be
+// reused.
+func NewEventPartitioner(ref target.Ref, stream uint64, members *VMSet) *EventPartitioner {
+	return &EventPartitioner{ref: ref, stream: stream, members: members, sequences: make(map[string]uint64)}
 }
 
-// Snapshot returns the batches that start the stream at every owner with the
-// current content of the cache.
-func (f *Forwarder) Snapshot(content []Event) map[string]Batch {
+// SnapshotBatches returns the batches that start the stream at every owner with
+// the current content of the cache.
+func (f *EventPartitioner) SnapshotBatches(content []Event) map[string]Batch {
 	batches := make(map[string]Batch, len(f.members.names))
 	for _, name := range f.members.names {
 		batches[name] = Batch{Ref: f.ref, Stream: f.stream, Reset: true}
@@ -81,28 +82,28 @@
 	return batches
 }
 
-// Split assigns events to their owners and numbers them.
-func (f *Forwarder) Split(events []Event) map[string]Batch {
+// Partition assigns events to their owners and numbers them.
+func (f *EventPartitioner) Partition(events []Event) map[string]Batch {
 	batches := make(map[string]Batch)
 	for _, e := range events {
 		owner := f.members.Owner(e.Root)
 		f.sequences[owner]++
 		e.Sequence = f.sequences[owner]
 		b := batches[owner]
-		b.Ref, b.Stream, b.Through = f.ref, f.stream, e.Sequence
+		b.Ref, b.Stream, b.LastSequence = f.ref, f.stream, e.Sequence
 		b.Events = append(b.Events, e)
 		batches[owner] = b
 	}
 	return batches
 }
 
-// Gap returns batches that report a gap to every owner, because the owners of
-// the missing events are unknown.
-func (f *Forwarder) Gap() map[string]Batch {
+// GapBatches returns batches that report a gap to every owner, because the
+// owners of the missing events are unknown.
+func (f *EventPartitioner) GapBatches() map[string]Batch {
 	batches := make(map[string]Batch, len(f.members.names))
 	for _, name := range f.members.names {
 		f.sequences[name]++
-		batches[name] = Batch{Ref: f.ref, Stream: f.stream, Through: f.sequences[name]}
+		batches[name] = Batch{Ref: f.ref, Stream: f.stream, LastSequence: f.sequences[name]}
 	}
 	return batches
 }
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -77,7 +77,7 @@
 func TestGapMakesUncertain(t *testing.T) {
 	x, clock := newTestIndex()
 	r, a, b := ref(1, 1), chainOf(1, 3), chainOf(2, 3)
-	x.Apply(Batch{Ref: r, Stream: 7, Reset: true, Through: 4})
+	x.Apply(Batch{Ref: r, Stream: 7, Reset: true, LastSequence: 4})
 	if x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(5, a)}}) {
 		t.Error("Apply requested a resync for a stream without a gap")
 	}
@@ -87,7 +87,7 @@
 	wantHeld(t, x, r, a, 3)
 	clock.now = clock.now.Add(defaultEvictionAge)
 	wantHeld(t, x, r, a, 0)
-	x.Apply(Batch{Ref: r, Stream: 8, Reset: true, Through: 9, Events: []Event{stored(0, b)}})
+	x.Apply(Batch{Ref: r, Stream: 8, Reset: true, LastSequence: 9, Events: []Event{stored(0, b)}})
 	wantHeld(t, x, r, a, 0)
 	wantHeld(t, x, r, b, 3)
 	if !x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(8, a)}}) {
@@ -123,7 +123,7 @@
 	x.Drop(ref(1, 2))
 	x.Predict(ref(1, 2), a, 0)
 	wantHeld(t, x, ref(1, 2), a, 0)
-	x.Tick()
+	x.RemoveExpired()
 	for i := 2; i < MaxSlots+2; i++ {
 		x.Predict(ref(i, 1), chainOf(i, 1), 0)
 	}
@@ -135,20 +135,20 @@
 // Guards against VMs computing a cold prefix twice because they ask at the same
 // time, and against waiting for a VM that has died.
 func TestIntents(t *testing.T) {
-	intents, now, chain := NewIntents(), time.Unix(1000, 0), chainOf(1, 3)
-	if intents.Begin(chain, 1, now) != nil {
+	coalescer, now, chain := NewCoalescer(), time.Unix(1000, 0), chainOf(1, 3)
+	if coalescer.Begin(chain, 1, now) != nil {
 		t.Error("first request has to wait")
 	}
-	placed := intents.Begin(chain, 1, now)
+	placed := coalescer.Begin(chain, 1, now)
 	if placed == nil {
 		t.Fatal("second request does not have to wait")
 	}
-	if intents.Begin(chain, 3, now) != nil {
+	if coalescer.Begin(chain, 3, now) != nil {
 		t.Error("request for blocks that are already held has to wait")
 	}
-	intents.Placed(chain)
+	coalescer.Complete(chain)
 	<-placed
-	if intents.Begin(chain, 1, now) != nil || intents.Begin(chain, 1, now.Add(placementTimeout)) != nil {
+	if coalescer.Begin(chain, 1, now) != nil || coalescer.Begin(chain, 1, now.Add(placementTimeout)) != nil {
 		t.Error("request has to wait for a placement that completed or timed out")
 	}
 }
@@ -162,7 +162,7 @@
 	x.Predict(r, b, 0)
 	x.Apply(Batch{Ref: r, Stream: 7, Events: []Event{stored(1, b)}})
 	clock.now = clock.now.Add(defaultEvictionAge)
-	x.Tick()
+	x.RemoveExpired()
 	wantHeld(t, x, r, a, 0)
 	wantHeld(t, x, r, b, 2)
 }
@@ -299,7 +299,7 @@
 	x := benchIndex(75, 320000)
 	for n := uint64(2); b.Loop(); n++ {
 		x.Predict(ref(0, n), chainOf(1, 10), 0)
-		x.Tick()
+		x.RemoveExpired()
 	}
 }
 
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -95,7 +95,7 @@
 	members := n.log.members()
 	granted := 0
 	for id, voteGranted := range n.votes {
-		if voteGranted && members.Voter(id) {
+		if voteGranted && members.IsVoter(id) {
 			granted++
 		}
 	}
@@ -105,7 +105,7 @@
 // handleTimeoutNow starts an election without a pre-vote. The request is valid
 // only in its sender's term: the sender gave up its lease before sending it.
 func (n *Node) handleTimeoutNow() {
-	if n.role == Leader || n.bootstrap.pending || !n.log.members().Voter(n.id) {
+	if n.role == Leader || n.bootstrap.pending || !n.log.members().IsVoter(n.id) {
 		return
 	}
 	n.campaign(MsgVote, true)
@@ -134,9 +134,9 @@
 	n.transferee = ""
 }
 
-// LeaseUntil returns the time, on the replica's own clock, until which no other
+// LeaseExpiry returns the time, on the replica's own clock, until which no other
 // replica can become leader. It returns false if this replica holds no lease.
-func (n *Node) LeaseUntil() (time.Duration, bool) {
+func (n *Node) LeaseExpiry() (time.Duration, bool) {
 	if n.role != Leader || n.log.commit < n.termStartIndex {
 		return 0, false
 	}
--- a/internal/raft/formation.go
+++ b/internal/raft/formation.go
@@ -16,10 +16,10 @@
 	// nonce distinguishes responses to this process from responses to an earlier
 	// one.
 	nonce uint64
-	// empty and initialized hold, by ID, whether another replica answered that it
-	// has stored nothing, and that it has finished bootstrapping.
-	empty       map[string]bool
-	initialized map[string]bool
+	// empty and bootstrapped hold, by ID, whether another replica answered that
+	// it has stored nothing, and that it has finished bootstrapping.
+	empty        map[string]bool
+	bootstrapped map[string]bool
 	// finishUnsaved is set from the end of bootstrap until the caller has saved
 	// it.
 	finishUnsaved bool
@@ -28,7 +28,7 @@
 func (n *Node) initBootstrap(pending bool) {
 	n.bootstrap = bootstrapState{
 		pending: pending, nonce: n.config.Rand.Uint64(),
-		empty: make(map[string]bool), initialized: make(map[string]bool),
+		empty: make(map[string]bool), bootstrapped: make(map[string]bool),
 	}
 	n.checkBootstrap()
 }
@@ -41,7 +41,7 @@
 // bootstrapping. A voter must not start the first election until all voters have
 // finished: a voter that starts later would find the others no longer empty.
 func (n *Node) bootstrapping() bool {
-	return n.bootstrap.pending || n.isEmpty() && !n.allOtherVoters(n.bootstrap.initialized)
+	return n.bootstrap.pending || n.isEmpty() && !n.allOtherVoters(n.bootstrap.bootstrapped)
 }
 
 // allOtherVoters reports whether set is true for every other voter.
@@ -59,30 +59,30 @@
 func (n *Node) sendBootstrapQueries() {
 	for _, member := range n.log.members() {
 		if member.Voter && member.ID != n.id {
-			n.send(Message{Kind: MsgBootstrapQuery, To: member.ID, Round: n.bootstrap.nonce})
+			n.send(Message{Kind: MsgBootstrapQuery, To: member.ID, ReadRound: n.bootstrap.nonce})
 		}
 	}
 }
 
 func (n *Node) handleBootstrapQuery(m *Message) {
 	n.send(Message{
-		Kind: MsgBootstrapQueryResponse, To: m.From, Round: m.Round,
+		Kind: MsgBootstrapQueryResponse, To: m.From, ReadRound: m.ReadRound,
 		Reject: !n.isEmpty(),
 	})
 }
 
 func (n *Node) handleBootstrapQueryResponse(m *Message) {
 	b := &n.bootstrap
-	if m.Round != b.nonce {
+	if m.ReadRound != b.nonce {
 		return
 	}
 	b.empty[m.From] = !m.Reject
-	b.initialized[m.From] = m.Formed
+	b.bootstrapped[m.From] = m.Bootstrapped
 	n.checkBootstrap()
 }
 
 func (n *Node) checkBootstrap() {
-	if n.bootstrap.pending && n.isEmpty() && n.log.members().Voter(n.id) && n.allOtherVoters(n.bootstrap.empty) {
+	if n.bootstrap.pending && n.isEmpty() && n.log.members().IsVoter(n.id) && n.allOtherVoters(n.bootstrap.empty) {
 		n.finishBootstrap()
 	}
 }
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -153,13 +153,13 @@
 	term, _ := n.log.term(prev)
 	n.send(Message{
 		Kind: MsgAppend, To: to, Index: prev, LogTerm: term, Commit: n.log.commit,
-		Entries: entries, Sent: n.config.Clock(), Round: n.readRound,
+		Entries: entries, SentAt: n.config.Clock(), ReadRound: n.readRound,
 	})
 }
 
 // handleAppend stores entries from the leader and responds.
 func (n *Node) handleAppend(m *Message) {
-	response := Message{Kind: MsgAppendResponse, To: m.From, Sent: m.Sent, Round: m.Round}
+	response := Message{Kind: MsgAppendResponse, To: m.From, SentAt: m.SentAt, ReadRound: m.ReadRound}
 	switch {
 	case m.Index < n.log.commit:
 		response.Index = n.log.commit
@@ -171,7 +171,7 @@
 	default:
 		response.Reject = true
 		response.Index = m.Index
-		response.Hint = n.rejectHint(m.Index, m.LogTerm)
+		response.RejectHint = n.rejectHint(m.Index, m.LogTerm)
 	}
 	n.send(response)
 }
@@ -214,23 +214,23 @@
 
 func (n *Node) recordResponse(p *peer, m *Message) {
 	p.responded = true
-	p.initialized = m.Formed
-	p.ackedSendTime = max(p.ackedSendTime, m.Sent)
-	p.ackedRound = max(p.ackedRound, m.Round)
+	p.bootstrapped = m.Bootstrapped
+	p.ackedSendTime = max(p.ackedSendTime, m.SentAt)
+	p.ackedRound = max(p.ackedRound, m.ReadRound)
 }
 
 // handleRejection moves p.next back to the follower's hint and probes from there.
 // It ignores rejections of outdated requests.
 func (n *Node) handleRejection(m *Message, p *peer) {
-	if m.Index+1 == p.next && m.Index == p.match && m.Hint < p.match {
+	if m.Index+1 == p.next && m.Index == p.match && m.RejectHint < p.match {
 		// The replica no longer has entries that it acknowledged: it has lost
 		// its disk.
-		p.match = m.Hint
+		p.match = m.RejectHint
 	}
 	if m.Index <= p.match || p.probing && m.Index+1 != p.next {
 		return
 	}
-	p.next = max(p.match+1, min(m.Index, m.Hint+1))
+	p.next = max(p.match+1, min(m.Index, m.RejectHint+1))
 	p.probing = true
 	p.lastProbe = n.config.Clock() - n.config.HeartbeatInterval
 	n.replicate(m.From, false)
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -46,14 +46,14 @@
 	return m[i], true
 }
 
-// Voter reports whether the member with the given ID is a voter.
-func (m Membership) Voter(id string) bool {
+// IsVoter reports whether the member with the given ID is a voter.
+func (m Membership) IsVoter(id string) bool {
 	member, ok := m.Find(id)
 	return ok && member.Voter
 }
 
-// Voters returns the number of voters.
-func (m Membership) Voters() int {
+// VoterCount returns the number of voters.
+func (m Membership) VoterCount() int {
 	count := 0
 	for _, member := range m {
 		if member.Voter {
@@ -64,7 +64,7 @@
 }
 
 // Quorum returns the smallest number of voters that is a majority.
-func (m Membership) Quorum() int { return m.Voters()/2 + 1 }
+func (m Membership) Quorum() int { return m.VoterCount()/2 + 1 }
 
 // Encode returns the binary encoding of m that is stored on disk.
 func (m Membership) Encode() []byte {
@@ -127,7 +127,7 @@
 	switch {
 	case c.Kind == AddLearner && i < 0 && c.ID != "" && c.Address != "":
 		next = append(next, Member{ID: c.ID, Address: c.Address})
-	case c.Kind == Promote && i >= 0 && !next[i].Voter && next.Voters() < MaxVoters:
+	case c.Kind == Promote && i >= 0 && !next[i].Voter && next.VoterCount() < MaxVoters:
 		next[i].Voter = true
 	case c.Kind == Remove && i >= 0:
 		next = slices.Delete(next, i, i+1)
@@ -187,5 +187,5 @@
 // stores every committed entry.
 func (n *Node) peerCaughtUp(id string) bool {
 	p := n.peers[id]
-	return p != nil && p.initialized && n.active(p) && p.match >= n.log.commit
+	return p != nil && p.bootstrapped && n.active(p) && p.match >= n.log.commit
 }
--- a/internal/raft/network_test.go
+++ b/internal/raft/network_test.go
@@ -14,10 +14,10 @@
 	id   string
 	node *Node
 	// disk and snapshotData survive a crash.
-	disk         Stored
+	disk         PersistentState
 	snapshotData []byte
 	// initialDisk is the content of the disk before the first start.
-	initialDisk Stored
+	initialDisk PersistentState
 	// applied and checksum are the state of the state machine: the last applied
 	// entry and a checksum of all applied entries.
 	applied  uint64
@@ -107,7 +107,7 @@
 		if i < voters {
 			h.disk.Snapshot.Members = NewVoters(addresses)
 		}
-		h.disk.New = true
+		h.disk.Bootstrapping = true
 		h.initialDisk = h.disk
 	}
 	return w
@@ -188,8 +188,8 @@
 	if r.HardState != nil {
 		h.disk.HardState = *r.HardState
 	}
-	if r.Formed {
-		h.disk.New = false
+	if r.Bootstrapped {
+		h.disk.Bootstrapping = false
 	}
 	if len(r.Entries) > 0 {
 		keep := r.Entries[0].Index - h.disk.Snapshot.Index - 1
@@ -197,9 +197,9 @@
 	}
 }
 
-func (w *network) transmit(h *simHost, messages []Message, promise bool) {
+func (w *network) transmit(h *simHost, messages []Message, afterSync bool) {
 	for _, m := range messages {
-		if m.Promise() != promise || w.rand.IntN(100) < w.lossPercent {
+		if m.NeedsSync() != afterSync || w.rand.IntN(100) < w.lossPercent {
 			continue
 		}
 		if m.Kind == MsgSnapshot {
@@ -270,7 +270,7 @@
 		if h.node.role == Leader {
 			w.checkNewLeader(h)
 		}
-		if until, ok := h.node.LeaseUntil(); ok && w.clock(h) < until {
+		if until, ok := h.node.LeaseExpiry(); ok && w.clock(h) < until {
 			if holder != nil {
 				w.fail("both %s and %s hold a lease", holder.id, h.id)
 			}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -34,14 +34,14 @@
 	MaxUncommitted uint64
 }
 
-// Stored is the persistent state that a replica starts from.
-type Stored struct {
+// PersistentState is the persistent state that a replica starts from.
+type PersistentState struct {
 	HardState HardState
 	Snapshot  SnapshotMeta
 	// Entries holds the entries after the snapshot.
 	Entries []Entry
 	// Set until a Ready has reported that the replica finished bootstrapping.
-	New bool
+	Bootstrapping bool
 }
 
 // Node is the consensus state of one replica. It is not safe for concurrent use.
@@ -118,8 +118,8 @@
 	ackedRound    uint64
 	// responded is set once the replica has answered in this term.
 	responded bool
-	// initialized is set if the replica has finished bootstrapping.
-	initialized bool
+	// bootstrapped is set if the replica has finished bootstrapping.
+	bootstrapped bool
 	// snapshotIndex is the index of the snapshot being sent, or 0.
 	snapshotIndex  uint64
 	snapshotOffset uint64
@@ -127,7 +127,7 @@
 }
 
 // New returns a replica that resumes from its persistent state.
-func New(config Config, stored Stored) *Node {
+func New(config Config, stored PersistentState) *Node {
 	n := &Node{
 		config:        config,
 		id:            config.ID,
@@ -141,7 +141,7 @@
 	n.log.add(stored.Entries...)
 	n.log.stable = n.log.last()
 	n.startElectionTimer(stored.HardState.Term == 0)
-	n.initBootstrap(stored.New)
+	n.initBootstrap(stored.Bootstrapping)
 	return n
 }
 
@@ -153,7 +153,7 @@
 	now := n.config.Clock()
 	n.electionTimerStart = now
 	members := n.log.members()
-	soleVoter := members.Voters() == 1 && members.Voter(n.id)
+	soleVoter := members.VoterCount() == 1 && members.IsVoter(n.id)
 	if !isNew && !soleVoter {
 		n.lastLeaderContact = now
 		n.electionTimerDuration = n.randomElectionTimeout()
@@ -189,7 +189,7 @@
 	if now-n.electionTimerStart < n.electionTimerDuration {
 		return
 	}
-	if !n.log.members().Voter(n.id) || n.withinLeaderLease(now) {
+	if !n.log.members().IsVoter(n.id) || n.withinLeaderLease(now) {
 		n.resetElectionTimer(now)
 		return
 	}
@@ -305,7 +305,7 @@
 
 func (n *Node) send(m Message) {
 	m.From = n.id
-	m.Formed = !n.bootstrap.pending
+	m.Bootstrapped = !n.bootstrap.pending
 	if m.Term == 0 {
 		m.Term = n.term
 	}
@@ -323,10 +323,10 @@
 // Advance; it must not call any other method in between.
 func (n *Node) Ready() Ready {
 	r := Ready{
-		Entries:  n.log.slice(n.log.stable+1, n.log.last()),
-		Snapshot: n.installed,
-		Reads:    n.completedReads,
-		Formed:   n.bootstrap.finishUnsaved,
+		Entries:      n.log.slice(n.log.stable+1, n.log.last()),
+		Snapshot:     n.installed,
+		Reads:        n.completedReads,
+		Bootstrapped: n.bootstrap.finishUnsaved,
 	}
 	if state := (HardState{n.term, n.vote}); state != n.savedState {
 		r.HardState = &state
@@ -370,7 +370,7 @@
 	Members Membership
 	// Set while the replica is bootstrapping: its disk was empty at the start and
 	// it must not vote.
-	New bool
+	Bootstrapping bool
 	// Match maps each other replica to its last entry known to match the
 	// leader's log. Only the leader sets it.
 	Match map[string]uint64
@@ -385,7 +385,7 @@
 		ID: n.id, Role: n.role, Term: n.term, Leader: n.leader,
 		Commit: n.log.commit, Applied: n.log.applied,
 		First: n.log.baseIndex + 1, Last: n.log.last(), Members: n.log.members(),
-		New: n.bootstrap.pending,
+		Bootstrapping: n.bootstrap.pending,
 	}
 	if n.role == Leader {
 		s.Match = make(map[string]uint64, len(n.peers))
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -118,7 +118,7 @@
 // initialized voters are a majority. It spares a sole initial voter, which has no
 // other voters to query and always starts as a new one.
 func (w *network) wipeDisk(h *simHost) {
-	if h.initialDisk.Snapshot.Members.Voters() == 1 {
+	if h.initialDisk.Snapshot.Members.VoterCount() == 1 {
 		return
 	}
 	for _, other := range w.hosts {
@@ -138,7 +138,7 @@
 func (w *network) quorumWithout(members Membership, excluded *simHost) bool {
 	count := 0
 	for _, h := range w.hosts {
-		if h != excluded && !h.disk.New && members.Voter(h.id) {
+		if h != excluded && !h.disk.Bootstrapping && members.IsVoter(h.id) {
 			count++
 		}
 	}
@@ -298,7 +298,7 @@
 		w.processReady(leader)
 		w.run(2 * time.Second)
 	}
-	if lost.node.bootstrap.pending || !leader.node.Members().Voter(lost.id) {
+	if lost.node.bootstrap.pending || !leader.node.Members().IsVoter(lost.id) {
 		t.Fatal("the voter that had lost its disk did not become a voter again")
 	}
 	if w.failure != "" {
@@ -311,7 +311,7 @@
 func TestOvertakenSnapshot(t *testing.T) {
 	w := newNetwork(1, 3, 0, []float64{1})
 	h := w.hosts[0]
-	h.disk.New = false
+	h.disk.Bootstrapping = false
 	w.start(h)
 	var entries []Entry
 	for i := uint64(1); i <= 5; i++ {
--- a/internal/raft/repair.go
+++ b/internal/raft/repair.go
@@ -18,10 +18,10 @@
 	return [...]string{"none", "add learner", "promote", "remove"}[k]
 }
 
-// AdmitChange returns the next membership change needed to add a replica, or
+// NextJoinChange returns the next membership change needed to add a replica, or
 // false if it is already a member. Another member at the same address has lost
 // its disk and can never respond again, so it is removed first.
-func AdmitChange(members Membership, id, address string) (Change, bool) {
+func NextJoinChange(members Membership, id, address string) (Change, bool) {
 	if _, ok := members.Find(id); ok {
 		return Change{}, false
 	}
@@ -33,21 +33,22 @@
 	return Change{Kind: AddLearner, ID: id, Address: address}, true
 }
 
-// Repair decides which membership changes a leader makes to replace lost voters
-// and to reach the desired number of voters. It is not safe for concurrent use.
-type Repair struct {
+// Repairer decides which membership changes a leader makes to replace lost
+// voters and to reach the desired number of voters. It is not safe for
+// concurrent use.
+type Repairer struct {
 	// unresponsiveSince maps each replica that does not respond to the time at
 	// which this was first observed.
 	unresponsiveSince map[string]time.Duration
 	term              uint64
 }
 
-// NewRepair returns a Repair that has observed no unresponsive replica.
-func NewRepair() *Repair { return &Repair{unresponsiveSince: make(map[string]time.Duration)} }
+// NewRepairer returns a Repairer that has observed no unresponsive replica.
+func NewRepairer() *Repairer { return &Repairer{unresponsiveSince: make(map[string]time.Duration)} }
 
 // Next returns the membership change to make now, if any, given the status of
 // this replica.
-func (r *Repair) Next(now time.Duration, s *Status) (Change, bool) {
+func (r *Repairer) Next(now time.Duration, s *Status) (Change, bool) {
 	if s.Role != Leader || s.Term != r.term {
 		clear(r.unresponsiveSince)
 		r.term = s.Term
@@ -56,7 +57,7 @@
 	r.trackResponses(now, s)
 	learner, learnerReady := r.caughtUpLearner(s)
 	lost, voterLost := r.lostVoter(now, s)
-	voters := s.Members.Voters()
+	voters := s.Members.VoterCount()
 	switch {
 	case learnerReady && voterLost && voters >= desiredVoters(s.Members):
 		return Change{Kind: Remove, ID: lost}, true
@@ -75,7 +76,7 @@
 	return smallVoterCount
 }
 
-func (r *Repair) trackResponses(now time.Duration, s *Status) {
+func (r *Repairer) trackResponses(now time.Duration, s *Status) {
 	for _, m := range s.Members {
 		if m.ID == s.ID || s.Active[m.ID] {
 			delete(r.unresponsiveSince, m.ID)
@@ -88,7 +89,7 @@
 }
 
 // caughtUpLearner returns a responding learner that stores every committed entry.
-func (r *Repair) caughtUpLearner(s *Status) (string, bool) {
+func (r *Repairer) caughtUpLearner(s *Status) (string, bool) {
 	for _, m := range s.Members {
 		if !m.Voter && s.Active[m.ID] && s.Match[m.ID] >= s.Commit {
 			return m.ID, true
@@ -97,7 +98,7 @@
 	return "", false
 }
 
-func (r *Repair) lostVoter(now time.Duration, s *Status) (string, bool) {
+func (r *Repairer) lostVoter(now time.Duration, s *Status) (string, bool) {
 	for _, m := range s.Members {
 		since, ok := r.unresponsiveSince[m.ID]
 		if m.Voter && ok && now-since >= lostReplicaTimeout {
@@ -110,7 +111,7 @@
 // removeLostLearner returns the removal of a learner that has been unresponsive
 // for twice lostReplicaTimeout. It would otherwise count as a replica forever. A
 // removed learner joins again if it returns.
-func (r *Repair) removeLostLearner(now time.Duration, s *Status) (Change, bool) {
+func (r *Repairer) removeLostLearner(now time.Duration, s *Status) (Change, bool) {
 	for _, m := range s.Members {
 		since, ok := r.unresponsiveSince[m.ID]
 		if !m.Voter && ok && now-since >= 2*lostReplicaTimeout {
--- a/internal/raft/repair_test.go
+++ b/internal/raft/repair_test.go
@@ -28,7 +28,7 @@
 
 // runUntilChange calls Next with advancing time until it returns a change or limit
 // is reached, and returns the time of the change.
-func runUntilChange(r *Repair, s *Status, limit time.Duration) (Change, time.Duration) {
+func runUntilChange(r *Repairer, s *Status, limit time.Duration) (Change, time.Duration) {
 	for now := time.Duration(0); now <= limit; now += 100 * time.Millisecond {
 		if change, ok := r.Next(now, s); ok {
 			return change, now
@@ -39,7 +39,7 @@
 
 // Guards against the removal of a lost voter while no learner can replace it.
 func TestLostVoterStaysWithoutALearner(t *testing.T) {
-	change, _ := runUntilChange(NewRepair(), leaderStatus(members(3), "b"), time.Minute)
+	change, _ := runUntilChange(NewRepairer(), leaderStatus(members(3), "b"), time.Minute)
 	if change.Kind != 0 {
 		t.Errorf("proposed %v of %s", change.Kind, change.ID)
 	}
@@ -48,7 +48,7 @@
 // Guards against keeping a permanently lost voter although a learner can replace
 // it.
 func TestLearnerReplacesALostVoter(t *testing.T) {
-	r := NewRepair()
+	r := NewRepairer()
 	s := leaderStatus(members(3, "d"), "b", "d")
 	change, at := runUntilChange(r, s, time.Minute)
 	if change != (Change{Kind: Remove, ID: "c"}) || at < lostReplicaTimeout {
@@ -62,7 +62,7 @@
 
 // Guards against replacing a voter that is only restarting.
 func TestVoterThatRestartsIsKept(t *testing.T) {
-	r := NewRepair()
+	r := NewRepairer()
 	s := leaderStatus(members(3, "d"), "b", "d")
 	for now := time.Duration(0); now < lostReplicaTimeout; now += 100 * time.Millisecond {
 		if change, ok := r.Next(now, s); ok {
@@ -77,7 +77,7 @@
 
 // Guards against a core of six replicas that tolerates only one failure.
 func TestLargeCoreGetsFiveVoters(t *testing.T) {
-	r := NewRepair()
+	r := NewRepairer()
 	s := leaderStatus(members(3, "d", "e", "f"), "b", "c", "d", "e", "f")
 	promoted := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
@@ -92,23 +92,23 @@
 		s.Members = next
 		promoted++
 	}
-	if s.Members.Voters() != 5 {
-		t.Errorf("core of six has %d voters after %d promotions, want 5", s.Members.Voters(), promoted)
+	if s.Members.VoterCount() != 5 {
+		t.Errorf("core of six has %d voters after %d promotions, want 5", s.Members.VoterCount(), promoted)
 	}
 }
 
 // Guards against a replica that has lost its disk and votes again under its old
 // ID, although the votes that it gave under this ID are lost.
 func TestReplicaWithANewDiskReplacesTheOneAtItsAddress(t *testing.T) {
-	change, ok := AdmitChange(members(3), "c/new", "c:1")
+	change, ok := NextJoinChange(members(3), "c/new", "c:1")
 	if !ok || change != (Change{Kind: Remove, ID: "c"}) {
 		t.Errorf("proposed %v of %s, want the removal of c", change.Kind, change.ID)
 	}
-	change, ok = AdmitChange(members(2), "c/new", "c:1")
+	change, ok = NextJoinChange(members(2), "c/new", "c:1")
 	if !ok || change.Kind != AddLearner {
 		t.Errorf("proposed %v, want a learner", change.Kind)
 	}
-	if _, ok := AdmitChange(members(3), "b", "b:1"); ok {
-		t.Error("AdmitChange returned a change for a replica that is already a member")
+	if _, ok := NextJoinChange(members(3), "b", "b:1"); ok {
+		t.Error("NextJoinChange returned a change for a replica that is already a member")
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -62,7 +62,7 @@
 	p.lastChunkSent = n.config.Clock()
 	n.send(Message{
 		Kind: MsgSnapshot, To: id, Snapshot: n.snapshot, Offset: p.snapshotOffset,
-		Sent: n.config.Clock(), Round: n.readRound,
+		SentAt: n.config.Clock(), ReadRound: n.readRound,
 	})
 }
 
@@ -70,14 +70,14 @@
 // snapshot.
 func (n *Node) handleSnapshot(m *Message) {
 	if m.Snapshot.Index <= n.log.commit {
-		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, Sent: m.Sent, Round: m.Round})
+		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, SentAt: m.SentAt, ReadRound: m.ReadRound})
 		return
 	}
 	if n.log.matches(m.Snapshot.Index, m.Snapshot.Term) {
 		// This replica may already have acknowledged entries after the snapshot,
 		// for example of an append that overtook it. They must be kept.
 		n.log.commit = m.Snapshot.Index
-		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, Sent: m.Sent, Round: m.Round})
+		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, SentAt: m.SentAt, ReadRound: m.ReadRound})
 		return
 	}
 	a := n.incoming
@@ -91,12 +91,12 @@
 	if uint64(len(a.data)) < a.meta.Size {
 		n.send(Message{
 			Kind: MsgSnapshotResponse, To: m.From, Index: a.meta.Index,
-			Offset: uint64(len(a.data)), Sent: m.Sent, Round: m.Round,
+			Offset: uint64(len(a.data)), SentAt: m.SentAt, ReadRound: m.ReadRound,
 		})
 		return
 	}
 	n.install(a)
-	n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: a.meta.Index, Sent: m.Sent, Round: m.Round})
+	n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: a.meta.Index, SentAt: m.SentAt, ReadRound: m.ReadRound})
 }
 
 // install replaces the log with a complete snapshot.
@@ -115,7 +115,7 @@
 	n.recordResponse(p, m)
 	// Only a response to the latest chunk triggers the next one: a duplicate
 	// response must not start a second stream of chunks.
-	if p.snapshotIndex == m.Index && p.lastChunkSent == m.Sent && p.snapshotOffset != m.Offset {
+	if p.snapshotIndex == m.Index && p.lastChunkSent == m.SentAt && p.snapshotOffset != m.Offset {
 		p.snapshotOffset = m.Offset
 		n.sendChunk(m.From, p)
 	}
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -95,15 +95,15 @@
 	Commit  uint64
 	Entries []Entry
 	// Reject is set in a response that denies a vote or an append. A rejected
-	// append also carries, in Hint, the last index at which the follower's log
-	// can still match the leader's.
-	Reject bool
-	Hint   uint64
-	// Sent is the leader's clock reading when it sent the request and Round its
-	// latest read round. Responses echo both. In a bootstrap query, Round is a
-	// nonce.
-	Sent  time.Duration
-	Round uint64
+	// append also carries, in RejectHint, the last index at which the
+	// follower's log can still match the leader's.
+	Reject     bool
+	RejectHint uint64
+	// SentAt is the leader's clock reading when it sent the request and
+	// ReadRound its latest read round. Responses echo both. In a bootstrap
+	// query, ReadRound is a nonce.
+	SentAt    time.Duration
+	ReadRound uint64
 	// Transfer marks a vote request of a leadership transfer. Followers may
 	// grant it even while they are in contact with the old leader.
 	Transfer bool
@@ -111,13 +111,12 @@
 	Offset   uint64
 	Data     []byte
 	// Set if the sender has finished bootstrapping and is allowed to vote.
-	Formed bool
+	Bootstrapped bool
 }
 
-// Promise reports whether m is a promise, such as a vote or an
-// acknowledgement, that may be sent only after the state it depends on has been
-// synced to disk.
-func (m *Message) Promise() bool {
+// NeedsSync reports whether m, such as a vote or an acknowledgement, may be sent
+// only after the state that it depends on has been synced to disk.
+func (m *Message) NeedsSync() bool {
 	switch m.Kind {
 	case MsgAppend, MsgSnapshot, MsgTimeoutNow:
 		return false
@@ -138,8 +137,8 @@
 
 // Ready is the work that the caller must carry out, in this order: write and
 // sync Snapshot, HardState and Entries, send Messages, restore Snapshot, apply
-// Committed, and call Advance. Messages that are not promises may be sent before
-// the sync.
+// Committed, and call Advance. Messages whose NeedsSync is false may be sent
+// before the sync.
 type Ready struct {
 	// HardState is nil if it has not changed.
 	HardState *HardState
@@ -150,13 +149,14 @@
 	Committed []Entry
 	Reads     []ReadState
 	// Set if this replica has finished bootstrapping. This must be recorded on
-	// disk after Entries are written and before promises are sent.
-	Formed bool
+	// disk after Entries are written and before messages that need the sync
+	// are sent.
+	Bootstrapped bool
 }
 
 // MustSync reports whether r contains anything to write to disk.
 func (r *Ready) MustSync() bool {
-	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil || r.Formed
+	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil || r.Bootstrapped
 }
 
 // Role is the role of a replica in its current term.
--- a/internal/ratelimit/account.go
+++ b/internal/ratelimit/account.go
@@ -94,21 +94,21 @@
 		a.granted.tokens = 0
 	}
 	item := ReportItem{
-		Workspace:   workspace,
-		GivenBack:   givenBack,
-		Outstanding: held + sumTokens(a.lent),
-		First:       a.shortfall(now, 1),
-		Need:        a.shortfall(now, len(a.waiters)),
-		Prefetch:    a.prefetchAmount(held),
-		Returned:    a.pendingRefund,
+		Workspace:      workspace,
+		ReturnedTokens: givenBack,
+		Outstanding:    held + sumTokens(a.lent),
+		FirstShortfall: a.shortfall(now, 1),
+		TotalShortfall: a.shortfall(now, len(a.waiters)),
+		Prefetch:       a.prefetchAmount(held),
+		Refund:         a.pendingRefund,
 	}
 	if a.pendingRefund > 0 {
-		item.ReturnedAge = now.Sub(a.oldestRefunded)
+		item.RefundAge = now.Sub(a.oldestRefunded)
 		// A lost report loses the refund. Sending it again could credit it
 		// twice.
 		a.pendingRefund = 0
 	}
-	return item, item.Outstanding > 0 || item.Need > 0 || item.Prefetch > 0 || item.Returned > 0 || item.GivenBack > 0
+	return item, item.Outstanding > 0 || item.TotalShortfall > 0 || item.Prefetch > 0 || item.Refund > 0 || item.ReturnedTokens > 0
 }
 
 // shortfall returns the tokens that the first n waiting requests and the debt
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -13,10 +13,10 @@
 type arrivalModel struct {
 	rng        *rand.Rand
 	workspaces []string
-	plan       Plan
+	limit      Limit
 	vms        int
-	locals     []*Local
-	root       *Root
+	locals     []*LocalLimiter
+	root       *RootAllocator
 	start      time.Time
 	now        time.Time
 }
@@ -31,14 +31,14 @@
 	start := time.Unix(1000, 0)
 	m := &arrivalModel{
 		rng:   rand.New(rand.NewPCG(1, 2)),
-		plan:  Plan{Rate: 20000, Burst: 160000, FloorFraction: 0.2, Slots: vms},
+		limit: Limit{Rate: 20000, Burst: 160000, FloorFraction: 0.2, Slots: vms},
 		vms:   vms,
 		start: start,
 		now:   start,
-		root:  NewRoot(start),
+		root:  NewRootAllocator(start),
 	}
 	for i := range vms {
-		m.locals = append(m.locals, NewLocal(start, Holder{fmt.Sprint("vm-", i), 1}, fmt.Sprint("z/", i)))
+		m.locals = append(m.locals, NewLocalLimiter(start, Holder{fmt.Sprint("vm-", i), 1}, fmt.Sprint("z/", i)))
 	}
 	for i := range workspaces {
 		m.workspaces = append(m.workspaces, fmt.Sprint("w", i))
@@ -46,7 +46,7 @@
 	return m
 }
 
-func (m *arrivalModel) lookup(string) (Plan, bool) { return m.plan, true }
+func (m *arrivalModel) lookup(string) (Limit, bool) { return m.limit, true }
 
 type pendingRequest struct {
 	vm        int
@@ -68,15 +68,15 @@
 			for range m.arrivals(w) {
 				vm := int(float64(m.vms) * m.rng.Float64() * m.rng.Float64() * m.rng.Float64())
 				tokens := requestMean * (0.5 + m.rng.Float64())
-				if !takeTokens(&ideal[w], m.now, m.start, m.plan.Rate, m.plan.Burst, tokens) {
+				if !takeTokens(&ideal[w], m.now, m.start, m.limit.Rate, m.limit.Burst, tokens) {
 					continue
 				}
 				requests++
 				n := float64(m.vms)
-				if !takeTokens(&static[w*m.vms+vm], m.now, m.start, m.plan.Rate/n, m.plan.Burst/n, tokens) {
+				if !takeTokens(&static[w*m.vms+vm], m.now, m.start, m.limit.Rate/n, m.limit.Burst/n, tokens) {
 					refusedStatic++
 				}
-				if waiter := m.locals[vm].Admit(m.now, name, m.plan, tokens); waiter != nil {
+				if waiter := m.locals[vm].Admit(m.now, name, m.limit, tokens); waiter != nil {
 					pending = append(pending, pendingRequest{vm, name, waiter, m.now.Add(modelMaxWait)})
 				}
 			}
@@ -94,7 +94,7 @@
 	if phase%2 == 1 {
 		return 0
 	}
-	mean := 1.6 * m.plan.Rate / requestMean * modelTick.Seconds()
+	mean := 1.6 * m.limit.Rate / requestMean * modelTick.Seconds()
 	n := int(mean)
 	if m.rng.Float64() < mean-float64(n) {
 		n++
@@ -111,7 +111,7 @@
 			continue
 		}
 		if report, ok := l.Report(m.now); ok {
-			l.Credit(m.now, report.Sequence, m.root.Handle(m.now, report, m.lookup))
+			l.ApplyGrants(m.now, report.Sequence, m.root.Handle(m.now, report, m.lookup))
 		}
 	}
 }
@@ -170,10 +170,10 @@
 	for _, vms := range []int{9, 35, 90, 350} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			root := NewRoot(now)
+			root := NewRootAllocator(now)
 			now = now.Add(time.Minute)
-			plan := Plan{Rate: 1e6, Burst: 8e6, FloorFraction: 0.2, Slots: vms}
-			lookup := func(string) (Plan, bool) { return plan, true }
+			limit := Limit{Rate: 1e6, Burst: 8e6, FloorFraction: 0.2, Slots: vms}
+			lookup := func(string) (Limit, bool) { return limit, true }
 			names := make([]string, 1900)
 			for i := range names {
 				names[i] = fmt.Sprint("w", i)
@@ -195,11 +195,11 @@
 // VM holds.
 func BenchmarkLocalAdmit(b *testing.B) {
 	now := time.Unix(1000, 0)
-	l := NewLocal(now, Holder{"vm", 1}, "z/0")
-	plan := Plan{Rate: 1e12, Burst: 1e12, FloorFraction: 1, Slots: 1}
+	l := NewLocalLimiter(now, Holder{"vm", 1}, "z/0")
+	limit := Limit{Rate: 1e12, Burst: 1e12, FloorFraction: 1, Slots: 1}
 	b.ReportAllocs()
 	for range b.N {
 		now = now.Add(time.Microsecond)
-		l.Admit(now, "w", plan, 1)
+		l.Admit(now, "w", limit, 1)
 	}
 }
--- a/internal/ratelimit/bound_test.go
+++ b/internal/ratelimit/bound_test.go
@@ -23,9 +23,9 @@
 	t          *testing.T
 	rng        *rand.Rand
 	now        time.Time
-	plan       Plan
-	root       *Root
-	locals     []*Local
+	limit      Limit
+	root       *RootAllocator
+	locals     []*LocalLimiter
 	start      []time.Time
 	admissions []*admission
 	unsettled  []unsettledCharge
@@ -36,21 +36,21 @@
 
 type waitingRequest struct {
 	vm     int
-	local  *Local
+	local  *LocalLimiter
 	waiter *Waiter
 	tokens float64
 }
 
 type unsettledCharge struct {
 	vm        int
-	local     *Local
+	local     *LocalLimiter
 	admission *admission
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), plan: Plan{Rate: 200, Burst: 400, FloorFraction: 0.3, Slots: 3}}
-	f.root = NewRoot(f.now)
-	for vm := range f.plan.Slots {
+	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), limit: Limit{Rate: 200, Burst: 400, FloorFraction: 0.3, Slots: 3}}
+	f.root = NewRootAllocator(f.now)
+	for vm := range f.limit.Slots {
 		f.locals = append(f.locals, nil)
 		f.start = append(f.start, time.Time{})
 		f.restart(vm)
@@ -60,10 +60,10 @@
 
 func (f *fleet) restart(vm int) {
 	holder := Holder{VM: fmt.Sprint("vm-", vm), Incarnation: uint64(f.now.UnixNano()) + 1}
-	f.locals[vm] = NewLocal(f.now, holder, fmt.Sprint("zone/", vm))
+	f.locals[vm] = NewLocalLimiter(f.now, holder, fmt.Sprint("zone/", vm))
 }
 
-func (f *fleet) lookup(string) (Plan, bool) { return f.plan, true }
+func (f *fleet) lookup(string) (Limit, bool) { return f.limit, true }
 
 // exchange sends a report to the root and applies the answer. The report or the
 // answer may be lost.
@@ -74,13 +74,13 @@
 	}
 	grants := f.root.Handle(f.now, report, f.lookup)
 	if !loseAnswer {
-		f.locals[vm].Credit(f.now, report.Sequence, grants)
+		f.locals[vm].ApplyGrants(f.now, report.Sequence, grants)
 	}
 }
 
 // admit leaves the request waiting if the VM lacks the tokens for it.
 func (f *fleet) admit(vm int, tokens float64) {
-	w := f.locals[vm].Admit(f.now, "w", f.plan, tokens)
+	w := f.locals[vm].Admit(f.now, "w", f.limit, tokens)
 	if w == nil {
 		f.record(vm, tokens)
 		return
@@ -129,7 +129,7 @@
 
 func (f *fleet) lend(from, to int, want float64, lose bool) {
 	sent := f.now
-	f.locals[to].Admit(f.now, "w", f.plan, 0)
+	f.locals[to].Admit(f.now, "w", f.limit, 0)
 	tokens, ttl := f.locals[from].Lend(f.now, "w", want)
 	if !lose {
 		f.locals[to].Borrow(f.now, sent, "w", tokens, ttl)
@@ -179,12 +179,12 @@
 // the grant is in flight.
 func (f *fleet) leaveUnspent(vm int) {
 	l := f.locals[vm]
-	w := l.Admit(f.now, "w", f.plan, float64(50+f.rng.IntN(250)))
+	w := l.Admit(f.now, "w", f.limit, float64(50+f.rng.IntN(250)))
 	report, _ := l.Report(f.now)
 	if w == nil || !l.Cancel(f.now, "w", w) {
 		return // The request was charged but does not run: its tokens are lost.
 	}
-	l.Credit(f.now, report.Sequence, f.root.Handle(f.now, report, f.lookup))
+	l.ApplyGrants(f.now, report.Sequence, f.root.Handle(f.now, report, f.lookup))
 }
 
 // randomAction takes one random action.
@@ -218,7 +218,7 @@
 	f.exchange(vm, false, false)
 	f.recordAdmitted()
 	f.admitUntilWait(vm)
-	l.Credit(f.now, late.Sequence, f.root.Handle(f.now, late, f.lookup))
+	l.ApplyGrants(f.now, late.Sequence, f.root.Handle(f.now, late, f.lookup))
 }
 
 func (f *fleet) injectFault() {
@@ -226,7 +226,7 @@
 	case 0:
 		f.restart(f.rng.IntN(len(f.locals)))
 	case 1:
-		f.root = NewRoot(f.now)
+		f.root = NewRootAllocator(f.now)
 	default:
 		// No VM exchanges reports with the root for several report intervals.
 		f.advance(1000 + f.rng.IntN(2000))
@@ -239,13 +239,13 @@
 func (f *fleet) checkBound(seed uint64) {
 	lowest, sum := math.Inf(1), 0.0
 	for _, a := range f.admissions {
-		refill := f.plan.Rate * a.at.Sub(f.admissions[0].at).Seconds()
+		refill := f.limit.Rate * a.at.Sub(f.admissions[0].at).Seconds()
 		lowest = min(lowest, sum-refill)
 		sum += a.tokens
 		used := sum - refill - lowest
-		f.maxUsed = max(f.maxUsed, used/f.plan.Burst)
-		if used > f.plan.Burst+1e-6 {
-			f.t.Fatalf("seed %d: %.3f tokens admitted above the rate at %v, want at most the burst of %.3f", seed, used, a.at.Sub(f.admissions[0].at), f.plan.Burst)
+		f.maxUsed = max(f.maxUsed, used/f.limit.Burst)
+		if used > f.limit.Burst+1e-6 {
+			f.t.Fatalf("seed %d: %.3f tokens admitted above the rate at %v, want at most the burst of %.3f", seed, used, a.at.Sub(f.admissions[0].at), f.limit.Burst)
 		}
 	}
 }
@@ -271,16 +271,16 @@
 // Guards against a zone that stops serving because the root is unreachable.
 func TestVMWithoutRootAdmitsFromFloorAndLoans(t *testing.T) {
 	now := time.Unix(1000, 0)
-	plan := Plan{Rate: 100, Burst: 300, FloorFraction: 0.3, Slots: 3}
-	a := NewLocal(now, Holder{"a", 1}, "z/0")
-	b := NewLocal(now, Holder{"b", 1}, "z/1")
-	b.Admit(now, "w", plan, 0)
-	a.Admit(now, "w", plan, 0)
+	limit := Limit{Rate: 100, Burst: 300, FloorFraction: 0.3, Slots: 3}
+	a := NewLocalLimiter(now, Holder{"a", 1}, "z/0")
+	b := NewLocalLimiter(now, Holder{"b", 1}, "z/1")
+	b.Admit(now, "w", limit, 0)
+	a.Admit(now, "w", limit, 0)
 	now = now.Add(time.Minute)
-	if w := a.Admit(now, "w", plan, 29); w != nil {
+	if w := a.Admit(now, "w", limit, 29); w != nil {
 		t.Fatal("the floor of 30 tokens does not cover a request of 29")
 	}
-	w := a.Admit(now, "w", plan, 10)
+	w := a.Admit(now, "w", limit, 10)
 	if w == nil {
 		t.Fatal("an empty floor admitted a request")
 	}
@@ -296,9 +296,9 @@
 // Guards against a restarted VM that spends its floor a second time.
 func TestRestartedVMStartsEmpty(t *testing.T) {
 	now := time.Unix(1000, 0)
-	plan := Plan{Rate: 100, Burst: 300, FloorFraction: 0.5, Slots: 1}
-	l := NewLocal(now, Holder{"a", 1}, "z/0")
-	if w := l.Admit(now, "w", plan, 1); w == nil {
+	limit := Limit{Rate: 100, Burst: 300, FloorFraction: 0.5, Slots: 1}
+	l := NewLocalLimiter(now, Holder{"a", 1}, "z/0")
+	if w := l.Admit(now, "w", limit, 1); w == nil {
 		t.Fatal("a VM admitted a request at the moment of its start")
 	}
 }
--- a/internal/ratelimit/divider.go
+++ b/internal/ratelimit/divider.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Divider allocates fractions of the rates of workspaces to VMs. It runs on the
-// leader of the control log and is safe for concurrent use.
-type Divider struct {
+// ShareAllocator allocates fractions of the rates of workspaces to VMs. It runs
+// on the leader of the control log and is safe for concurrent use.
+type ShareAllocator struct {
 	window time.Duration
 
 	mu      sync.Mutex
@@ -33,12 +33,12 @@
 	granted map[string]float64
 }
 
-// NewDivider returns a divider that starts at now, on a clock that keeps
-// running while the machine is suspended. window is the period over which
+// NewShareAllocator returns an allocator that starts at now, on a clock that
+// keeps running while the machine is suspended. window is the period over which
 // spending is limited. previous is what workspaces had spent within the window
 // under the previous leader.
-func NewDivider(now, window time.Duration, previous map[string]Spending) *Divider {
-	d := &Divider{window: window, started: now, vms: make(map[string]*vmShares), previousSpending: make(map[string]Spending)}
+func NewShareAllocator(now, window time.Duration, previous map[string]Spending) *ShareAllocator {
+	d := &ShareAllocator{window: window, started: now, vms: make(map[string]*vmShares), previousSpending: make(map[string]Spending)}
 	maps.Copy(d.previousSpending, previous)
 	d.previousRates = make(map[string]float64, len(previous))
 	for workspace, spending := range previous {
@@ -48,7 +48,7 @@
 }
 
 // Totals returns what each workspace has spent within the window.
-func (d *Divider) Totals(now time.Duration) map[string]Spending {
+func (d *ShareAllocator) Totals(now time.Duration) map[string]Spending {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.expire(now)
@@ -72,7 +72,7 @@
 // previousSpent returns the spending under the previous leader that is still in
 // the window and that no VM has reported. Spending in either half of the window
 // is treated as if it occurred at the end of that half.
-func (d *Divider) previousSpent(now time.Duration, workspace string) float64 {
+func (d *ShareAllocator) previousSpent(now time.Duration, workspace string) float64 {
 	switch age := now - d.started; {
 	case age < d.window/2:
 		return d.previousSpending[workspace].Spent
@@ -85,7 +85,7 @@
 // Report stores the report of one incarnation of a VM and returns its grants.
 // An earlier incarnation has ended and spends nothing any more; its reports get
 // no answer.
-func (d *Divider) Report(now time.Duration, vm string, incarnation int64, reports map[string]ShareReport) map[string]ShareGrant {
+func (d *ShareAllocator) Report(now time.Duration, vm string, incarnation int64, reports map[string]ShareReport) map[string]ShareGrant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.expire(now)
@@ -122,7 +122,7 @@
 
 // sumOthers returns the total spending and demand of all other VMs. A VM counts
 // as having admitted all of its demand since its last report.
-func (d *Divider) sumOthers(now time.Duration, h *vmShares, workspace string) ShareGrant {
+func (d *ShareAllocator) sumOthers(now time.Duration, h *vmShares, workspace string) ShareGrant {
 	var g ShareGrant
 	for _, other := range d.vms {
 		if other != h {
@@ -141,7 +141,7 @@
 
 // retire keeps counting the spending of a VM that has departed. The VM may have
 // admitted all of its demand between its last report and the end of its lease.
-func (d *Divider) retire(now time.Duration, h *vmShares) {
+func (d *ShareAllocator) retire(now time.Duration, h *vmShares) {
 	unreported := min(now-h.lastReport, ShareLease).Seconds()
 	for workspace, r := range h.reports {
 		growth := r.Demand * unreported
@@ -152,7 +152,7 @@
 	d.departed = append(d.departed, h)
 }
 
-func (d *Divider) expire(now time.Duration) {
+func (d *ShareAllocator) expire(now time.Duration) {
 	for name, h := range d.vms {
 		if now-h.lastReport > ShareReclaim {
 			delete(d.vms, name)
@@ -171,11 +171,12 @@
 // nextFraction returns the new fraction of one VM. A decrease takes effect only
 // when the VM receives the answer, so the VM counts with the larger value until
 // its next report.
-func (d *Divider) nextFraction(now time.Duration, h *vmShares, workspace string, held float64) float64 {
+func (d *ShareAllocator) nextFraction(now time.Duration, h *vmShares, workspace string, held float64) float64 {
 	desired := d.fractionByDemand(h, workspace)
 	free := 1 - d.heldByOthers(h, workspace)
 	if now-d.started < ShareReclaim && desired > held {
-		// VMs that have not yet reported to this divider may be using the rest.
+		// VMs that have not yet reported to this allocator may be using the
+		// rest.
 		desired = max(held, startupFraction)
 	}
 	return max(0, min(desired, free))
@@ -183,7 +184,7 @@
 
 // fractionByDemand returns the fraction of a VM: evenFraction is divided
 // evenly, the rest in proportion to demand.
-func (d *Divider) fractionByDemand(h *vmShares, workspace string) float64 {
+func (d *ShareAllocator) fractionByDemand(h *vmShares, workspace string) float64 {
 	sum := 0.0
 	for _, other := range d.vms {
 		sum += other.reports[workspace].Demand
@@ -195,7 +196,7 @@
 	return evenFraction*even + (1-evenFraction)*h.reports[workspace].Demand/sum
 }
 
-func (d *Divider) heldByOthers(h *vmShares, workspace string) float64 {
+func (d *ShareAllocator) heldByOthers(h *vmShares, workspace string) float64 {
 	sum := 0.0
 	for _, other := range d.vms {
 		if other != h {
@@ -205,8 +206,8 @@
 	return sum
 }
 
-// VMs returns the number of VMs that report.
-func (d *Divider) VMs() int {
+// VMCount returns the number of VMs that report.
+func (d *ShareAllocator) VMCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.vms)
--- a/internal/ratelimit/local.go
+++ b/internal/ratelimit/local.go
@@ -21,8 +21,8 @@
 	idleAccountTimeout = 10 * time.Minute
 )
 
-// Local admits the requests of one VM. It is safe for concurrent use.
-type Local struct {
+// LocalLimiter admits the requests of one VM. It is safe for concurrent use.
+type LocalLimiter struct {
 	mu         sync.Mutex
 	holder     Holder
 	slot       string
@@ -34,7 +34,7 @@
 
 // account holds the tokens of one workspace on one VM.
 type account struct {
-	plan Plan
+	limit Limit
 	// granted comes from the root, borrowed from zone peers.
 	granted  tokenLease
 	borrowed []tokenLease
@@ -63,17 +63,18 @@
 	tokens float64
 }
 
-// NewLocal returns the limiter of a VM that started at now. It holds no tokens.
-func NewLocal(now time.Time, holder Holder, slot string) *Local {
-	return &Local{holder: holder, slot: slot, started: now, accounts: make(map[string]*account)}
+// NewLocalLimiter returns the limiter of a VM that started at now. It holds no
+// tokens.
+func NewLocalLimiter(now time.Time, holder Holder, slot string) *LocalLimiter {
+	return &LocalLimiter{holder: holder, slot: slot, started: now, accounts: make(map[string]*account)}
 }
 
 // Admit charges tokens and returns nil, or queues the request and returns its
 // waiter. Requests of a workspace are admitted in order of arrival.
-func (l *Local) Admit(now time.Time, workspace string, plan Plan, tokens float64) *Waiter {
+func (l *LocalLimiter) Admit(now time.Time, workspace string, limit Limit, tokens float64) *Waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.account(now, workspace, plan)
+	a := l.account(now, workspace, limit)
 	a.recordDemand(now, tokens)
 	if len(a.waiters) == 0 && a.tryCharge(now, tokens) {
 		return nil
@@ -85,7 +86,7 @@
 
 // Cancel removes a waiter. It returns false if the tokens have already been
 // charged.
-func (l *Local) Cancel(now time.Time, workspace string, w *Waiter) bool {
+func (l *LocalLimiter) Cancel(now time.Time, workspace string, w *Waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
@@ -103,7 +104,7 @@
 }
 
 // Settle replaces the charge of a request by the tokens that it used.
-func (l *Local) Settle(now time.Time, workspace string, admitted time.Time, charged, used float64) {
+func (l *LocalLimiter) Settle(now time.Time, workspace string, admitted time.Time, charged, used float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
@@ -124,8 +125,8 @@
 	a.pendingRefund += charged - used
 }
 
-// Wake admits waiting requests for which tokens have become available.
-func (l *Local) Wake(now time.Time) {
+// AdmitWaiting admits waiting requests for which tokens have become available.
+func (l *LocalLimiter) AdmitWaiting(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
@@ -134,7 +135,7 @@
 }
 
 // Waiting reports whether any request waits for tokens.
-func (l *Local) Waiting() bool {
+func (l *LocalLimiter) Waiting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
@@ -147,7 +148,7 @@
 
 // Report returns the next report to the root. It returns false if this VM holds
 // no tokens and needs none. Only one report may be in flight.
-func (l *Local) Report(now time.Time) (Report, bool) {
+func (l *LocalLimiter) Report(now time.Time) (Report, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
@@ -168,10 +169,10 @@
 	return report, len(report.Items) > 0
 }
 
-// Credit applies the answer to the report with the given sequence. Answers to
-// earlier reports are ignored, because the root already treats their grants as
-// lost.
-func (l *Local) Credit(now time.Time, sequence uint64, grants []Grant) {
+// ApplyGrants applies the answer to the report with the given sequence. Answers
+// to earlier reports are ignored, because the root already treats their grants
+// as lost.
+func (l *LocalLimiter) ApplyGrants(now time.Time, sequence uint64, grants []Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if sequence != l.sequence {
@@ -194,7 +195,7 @@
 // Lend gives up to want tokens to a zone peer. The peer must stop using them
 // when ttl has passed since it sent its request. Nothing is lent while requests
 // of this VM wait.
-func (l *Local) Lend(now time.Time, workspace string, want float64) (tokens float64, ttl time.Duration) {
+func (l *LocalLimiter) Lend(now time.Time, workspace string, want float64) (tokens float64, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
@@ -218,7 +219,7 @@
 
 // Borrow adds tokens that a zone peer lent in answer to a request sent at
 // sentAt.
-func (l *Local) Borrow(now, sentAt time.Time, workspace string, tokens float64, ttl time.Duration) {
+func (l *LocalLimiter) Borrow(now, sentAt time.Time, workspace string, tokens float64, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
@@ -237,7 +238,7 @@
 }
 
 // Shortfalls lists the workspaces whose first waiting request lacks tokens.
-func (l *Local) Shortfalls(now time.Time) []Shortfall {
+func (l *LocalLimiter) Shortfalls(now time.Time) []Shortfall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Shortfall
@@ -252,7 +253,7 @@
 	return out
 }
 
-func (l *Local) account(now time.Time, workspace string, plan Plan) *account {
+func (l *LocalLimiter) account(now time.Time, workspace string, limit Limit) *account {
 	a, ok := l.accounts[workspace]
 	if !ok {
 		a = &account{demandUpdated: now}
@@ -260,9 +261,9 @@
 		a.floor.lastRefill = l.started
 		l.accounts[workspace] = a
 	}
-	if a.plan != plan {
-		a.plan = plan
-		rate, capacity := plan.floorLimit()
+	if a.limit != limit {
+		a.limit = limit
+		rate, capacity := limit.floorLimit()
 		a.floor.configure(now, rate, capacity)
 	}
 	return a
--- a/internal/ratelimit/plan.go
+++ b/internal/ratelimit/plan.go
@@ -25,8 +25,8 @@
 	reclaimAfter = GrantTTL + time.Duration(2*clockDrift*float64(GrantTTL))
 )
 
-// Plan is the rate limit of one workspace.
-type Plan struct {
+// Limit is the rate limit of one workspace.
+type Limit struct {
 	// Rate is the sustained rate in tokens per second, over all VMs.
 	Rate float64
 	// Burst is the maximum number of tokens admitted at once, over all VMs.
@@ -39,13 +39,13 @@
 }
 
 // rootLimit returns the rate and capacity of the root bucket.
-func (p Plan) rootLimit() (rate, capacity float64) {
+func (p Limit) rootLimit() (rate, capacity float64) {
 	f := p.floorFraction()
 	return p.Rate * (1 - f), p.Burst * (1 - f)
 }
 
 // floorLimit returns the rate and capacity of one slot's floor.
-func (p Plan) floorLimit() (rate, capacity float64) {
+func (p Limit) floorLimit() (rate, capacity float64) {
 	if p.Slots < 1 {
 		return 0, 0
 	}
@@ -55,7 +55,7 @@
 
 // floorFraction is zero without slots, because each floor needs an exclusive
 // holder.
-func (p Plan) floorFraction() float64 {
+func (p Limit) floorFraction() float64 {
 	if p.Slots < 1 {
 		return 0
 	}
@@ -91,19 +91,19 @@
 	// Outstanding is what the VM may still spend of earlier grants, plus what
 	// it has lent and has not yet expired.
 	Outstanding float64
-	// GivenBack is the unspent part of earlier grants that the VM returns.
-	GivenBack float64
-	// First is what the first waiting request lacks, Need what all waiting
-	// requests lack.
-	First float64
-	Need  float64
+	// ReturnedTokens is the unspent part of earlier grants that the VM returns.
+	ReturnedTokens float64
+	// FirstShortfall is what the first waiting request lacks, TotalShortfall
+	// what all waiting requests lack.
+	FirstShortfall float64
+	TotalShortfall float64
 	// Prefetch is how many more tokens the VM would like to hold for future
 	// requests.
 	Prefetch float64
-	// Returned is what settled requests were charged and did not use.
-	Returned float64
-	// ReturnedAge is the age of the oldest admission in Returned.
-	ReturnedAge time.Duration
+	// Refund is what settled requests were charged and did not use.
+	Refund float64
+	// RefundAge is the age of the oldest admission in Refund.
+	RefundAge time.Duration
 }
 
 // Grant answers one item of a report.
--- a/internal/ratelimit/root.go
+++ b/internal/ratelimit/root.go
@@ -20,10 +20,10 @@
 // held by many VMs do not add up to the tokens of one request.
 const prefetchReserve = 0.25
 
-// Root grants the tokens of all workspaces to VMs. It runs on the leader of the
-// control log and must be discarded when the leader's lease ends. It is safe
-// for concurrent use.
-type Root struct {
+// RootAllocator grants the tokens of all workspaces to VMs. It runs on the
+// leader of the control log and must be discarded when the leader's lease ends.
+// It is safe for concurrent use.
+type RootAllocator struct {
 	mu            sync.Mutex
 	started       time.Time
 	buckets       map[string]*rootBucket
@@ -59,11 +59,12 @@
 	expires time.Time
 }
 
-// NewRoot returns a root for a lease that began at now. It counts the whole
-// capacity of each workspace as outstanding, because an earlier leader may have
-// granted it, until every slot has reported or all earlier grants have expired.
-func NewRoot(now time.Time) *Root {
-	return &Root{
+// NewRootAllocator returns an allocator for a lease that began at now. It
+// counts the whole capacity of each workspace as outstanding, because an
+// earlier leader may have granted it, until every slot has reported or all
+// earlier grants have expired.
+func NewRootAllocator(now time.Time) *RootAllocator {
+	return &RootAllocator{
 		started:        now,
 		buckets:        make(map[string]*rootBucket),
 		lastSequence:   make(map[Holder]uint64),
@@ -72,9 +73,9 @@
 	}
 }
 
-// Handle processes one report and returns the grants. plan returns the plan of
-// a workspace, or false if it has none.
-func (r *Root) Handle(now time.Time, report Report, plan func(workspace string) (Plan, bool)) []Grant {
+// Handle processes one report and returns the grants. limitOf returns the limit
+// of a workspace, or false if it has none.
+func (r *RootAllocator) Handle(now time.Time, report Report, limitOf func(workspace string) (Limit, bool)) []Grant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if report.Sequence <= r.lastSequence[report.Holder] {
@@ -89,7 +90,7 @@
 	r.dropUnreported(now, report)
 	grants := make([]Grant, 0, len(report.Items))
 	for _, item := range report.Items {
-		p, ok := plan(item.Workspace)
+		p, ok := limitOf(item.Workspace)
 		if !ok {
 			continue
 		}
@@ -103,7 +104,7 @@
 }
 
 // Level returns the level of a workspace's bucket.
-func (r *Root) Level(workspace string) float64 {
+func (r *RootAllocator) Level(workspace string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if b, ok := r.buckets[workspace]; ok {
@@ -114,7 +115,7 @@
 
 // dropUnreported drops the holdings of workspaces that the report does not
 // list: a report lists all tokens that the VM holds.
-func (r *Root) dropUnreported(now time.Time, report Report) {
+func (r *RootAllocator) dropUnreported(now time.Time, report Report) {
 	listed := make(map[string]struct{}, len(report.Items))
 	for _, item := range report.Items {
 		listed[item.Workspace] = struct{}{}
@@ -133,7 +134,7 @@
 	}
 }
 
-func (r *Root) bucket(now time.Time, workspace string, p Plan) *rootBucket {
+func (r *RootAllocator) bucket(now time.Time, workspace string, p Limit) *rootBucket {
 	rate, capacity := p.rootLimit()
 	b, ok := r.buckets[workspace]
 	if !ok {
@@ -155,7 +156,7 @@
 
 // recovering reports whether VMs may still hold tokens granted by an earlier
 // leader. The whole capacity then counts as outstanding.
-func (r *Root) recovering(now time.Time, slots int) bool {
+func (r *RootAllocator) recovering(now time.Time, slots int) bool {
 	if now.Sub(r.started) >= reclaimAfter {
 		return false
 	}
@@ -226,7 +227,7 @@
 	held := max(0, item.Outstanding)
 	known := b.holdings[h].tokens
 	b.setHolding(h, held, expires)
-	if back := min(item.GivenBack, known-held); back > 0 {
+	if back := min(item.ReturnedTokens, known-held); back > 0 {
 		// Returned tokens move from the holding to the level.
 		b.level += back
 	}
@@ -245,16 +246,16 @@
 // refund adds unused tokens, as far as the bucket would have filled if they had
 // never been charged.
 func (b *rootBucket) refund(now time.Time, item ReportItem) {
-	if item.Returned <= 0 {
+	if item.Refund <= 0 {
 		return
 	}
-	age := item.ReturnedAge + time.Duration(2*clockDrift*float64(item.ReturnedAge))
+	age := item.RefundAge + time.Duration(2*clockDrift*float64(item.RefundAge))
 	charged := now.Add(-age)
 	room := min(b.capacity-b.fillPeaks.maxSince(charged), b.capacity-b.level-b.outstanding)
 	if room <= 0 {
 		return
 	}
-	tokens := min(item.Returned, room)
+	tokens := min(item.Refund, room)
 	b.fillPeaks.addSince(charged, tokens)
 	b.level += tokens
 	b.fillPeaks.record(now, b.level+b.outstanding)
@@ -264,7 +265,7 @@
 // waiting request is granted in full or not at all, because partial grants
 // would stay unused at several VMs.
 func (b *rootBucket) grant(now time.Time, h Holder, item ReportItem) float64 {
-	if now.After(b.reservedUntil) || (b.reservedFor == h && item.First == 0) {
+	if now.After(b.reservedUntil) || (b.reservedFor == h && item.FirstShortfall == 0) {
 		b.reservedTokens = 0
 	}
 	reserved := b.reservedTokens
@@ -272,16 +273,16 @@
 		reserved = 0
 	}
 	free := max(0, b.level-reserved)
-	if item.First > free {
+	if item.FirstShortfall > free {
 		if b.reservedTokens == 0 || b.reservedFor == h {
-			b.reservedFor, b.reservedTokens, b.reservedUntil = h, min(item.First, b.capacity), now.Add(reservationTTL)
+			b.reservedFor, b.reservedTokens, b.reservedUntil = h, min(item.FirstShortfall, b.capacity), now.Add(reservationTTL)
 		}
 		return 0
 	}
 	if b.reservedFor == h {
 		b.reservedTokens = 0
 	}
-	tokens := min(max(0, item.Need), free)
+	tokens := min(max(0, item.TotalShortfall), free)
 	if rest := free - tokens - b.capacity*prefetchReserve; rest > 0 && item.Prefetch > 0 {
 		tokens += min(item.Prefetch, rest/prefetchDivisor)
 	}
--- a/internal/ratelimit/shares.go
+++ b/internal/ratelimit/shares.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Rate shares are the second way to limit a workspace to its rate. A Divider on
-// the leader of the control log gives every VM a fraction of the rate and
-// burst, and tells it what the other VMs have spent recently.
+// Rate shares are the second way to limit a workspace to its rate. A
+// ShareAllocator on the leader of the control log gives every VM a fraction of
+// the rate and burst, and tells it what the other VMs have spent recently.
 //
 // While all VMs together stay well below the limit of a window, a VM admits any
 // request: one request can be as large as a VM's fraction of the burst, so
 // splitting a small rate would refuse requests that are within it. Close to the
 // limit, each VM runs a token bucket with its fraction. Fractions never add up
 // to more than 1, so a leader change needs no pause. A VM must stop admitting
-// requests ShareLease after its last confirmed report. The divider gives its
+// requests ShareLease after its last confirmed report. The allocator gives its
 // fraction to other VMs only after ShareReclaim.
 const (
 	// ShareLease is how long a VM may use a fraction after its report.
@@ -26,7 +26,7 @@
 	// evenFraction is the part of a rate that is divided evenly, so that a VM
 	// without recent demand can admit its first requests.
 	evenFraction = 0.2
-	// startupFraction is what a VM gets while a new divider does not yet know
+	// startupFraction is what a VM gets while a new allocator does not yet know
 	// what all other VMs use. It is small compared with the tolerated
 	// overshoot.
 	startupFraction = 0.02
@@ -37,7 +37,7 @@
 	lookAhead = 150 * time.Millisecond
 	// minDemandInterval is the shortest interval over which demand is measured.
 	minDemandInterval = 200 * time.Millisecond
-	// warmupTime is how long after the start of a divider the demand that VMs
+	// warmupTime is how long after the start of an allocator the demand that VMs
 	// report counts as incomplete.
 	warmupTime = 2 * time.Second
 	// warmupGrowthFactor limits the demand assumed during the warm-up, as a
@@ -50,8 +50,8 @@
 	// admits requests regardless of its share. The rest covers what VMs spend
 	// between two reports.
 	softLimitFraction = 0.82
-	// maxGrantAge is how old the divider's answer may be for the total spending
-	// to count as known. It exceeds the duration of a leader change.
+	// maxGrantAge is how old the allocator's answer may be for the total
+	// spending to count as known. It exceeds the duration of a leader change.
 	maxGrantAge = 3 * time.Second
 	// hardLimitFraction is the fraction of a window's limit above which no
 	// request is admitted.
@@ -92,7 +92,7 @@
 	return Spending{max(s.Spent-other.Spent, 0), max(s.Recent-other.Recent, 0)}
 }
 
-// ShareGrant is the divider's answer for one workspace.
+// ShareGrant is the allocator's answer for one workspace.
 type ShareGrant struct {
 	// Fraction is the part of rate and burst that the VM may use.
 	Fraction float64 `json:"fraction"`
@@ -100,8 +100,8 @@
 	// DemandOfOthers the number of tokens per second that callers ask them for.
 	SpentByOthers  float64 `json:"others"`
 	DemandOfOthers float64 `json:"others_demand"`
-	// WarmingUp is set while the divider is new and does not know the demand at
-	// all VMs. PreviousRate is then what was spent per second under the
+	// WarmingUp is set while the allocator is new and does not know the demand
+	// at all VMs. PreviousRate is then what was spent per second under the
 	// previous leader.
 	WarmingUp    bool    `json:"fresh,omitempty"`
 	PreviousRate float64 `json:"before_rate,omitempty"`
@@ -111,14 +111,14 @@
 // window.
 type Overshoot struct {
 	Window time.Duration
-	// Part is relative to that sum, Tokens is absolute.
-	Part   float64
-	Tokens float64
+	// Fraction is relative to that sum, Tokens is absolute.
+	Fraction float64
+	Tokens   float64
 }
 
-// Shares admits the requests of one VM by its rate shares. It is safe for
+// ShareLimiter admits the requests of one VM by its rate shares. It is safe for
 // concurrent use.
-type Shares struct {
+type ShareLimiter struct {
 	overshoot Overshoot
 
 	mu sync.Mutex
@@ -144,12 +144,12 @@
 	currentSlot       int64
 }
 
-// NewShares returns the limiter of a VM that has no fraction yet.
-func NewShares(overshoot Overshoot) *Shares {
-	return &Shares{overshoot: overshoot, vms: 1, accounts: make(map[string]*shareAccount)}
+// NewShareLimiter returns the limiter of a VM that has no fraction yet.
+func NewShareLimiter(overshoot Overshoot) *ShareLimiter {
+	return &ShareLimiter{overshoot: overshoot, vms: 1, accounts: make(map[string]*shareAccount)}
 }
 
-func (s *Shares) account(workspace string, now time.Duration) *shareAccount {
+func (s *ShareLimiter) account(workspace string, now time.Duration) *shareAccount {
 	a := s.accounts[workspace]
 	if a == nil {
 		a = &shareAccount{lastRefill: now, demandUpdated: now}
@@ -159,7 +159,7 @@
 }
 
 // Admit charges tokens, or returns the time after which a retry is useful.
-func (s *Shares) Admit(now time.Duration, workspace string, rate, burst, tokens float64) (wait time.Duration, ok bool) {
+func (s *ShareLimiter) Admit(now time.Duration, workspace string, rate, burst, tokens float64) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(workspace, now)
@@ -192,7 +192,7 @@
 
 // windowWait returns the time until so much spending has left the window that
 // requests are admitted again, assuming that it was spread evenly.
-func (s *Shares) windowWait(used float64) time.Duration {
+func (s *ShareLimiter) windowWait(used float64) time.Duration {
 	if used <= hardLimitFraction {
 		return 0
 	}
@@ -200,13 +200,13 @@
 }
 
 // windowLimit returns what all VMs together may spend within a window.
-func (s *Shares) windowLimit(rate, burst float64) float64 {
-	return (rate*s.overshoot.Window.Seconds()+burst)*(1+s.overshoot.Part) + s.overshoot.Tokens
+func (s *ShareLimiter) windowLimit(rate, burst float64) float64 {
+	return (rate*s.overshoot.Window.Seconds()+burst)*(1+s.overshoot.Fraction) + s.overshoot.Tokens
 }
 
 // usedFraction returns the fraction of the window's limit that all VMs together
 // have spent. known is false if that is unknown.
-func (s *Shares) usedFraction(now time.Duration, a *shareAccount, rate, burst float64) (fraction float64, known bool) {
+func (s *ShareLimiter) usedFraction(now time.Duration, a *shareAccount, rate, burst float64) (fraction float64, known bool) {
 	if !a.hasGrant || now-a.grantSent > maxGrantAge || s.overshoot.Window <= 0 {
 		return 0, false
 	}
@@ -262,7 +262,7 @@
 }
 
 // Refund reverses the charge of a request that did not run.
-func (s *Shares) Refund(workspace string, tokens float64) {
+func (s *ShareLimiter) Refund(workspace string, tokens float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.accounts[workspace]; a != nil {
@@ -299,9 +299,9 @@
 	a.level = min(a.level+rate*a.grant.Fraction*elapsed, burst*a.grant.Fraction)
 }
 
-// Report returns the report to the divider. workspaces lists those that have a
+// Report returns the report to the allocator. workspaces lists those that have a
 // rate.
-func (s *Shares) Report(now time.Duration, workspaces []string) map[string]ShareReport {
+func (s *ShareLimiter) Report(now time.Duration, workspaces []string) map[string]ShareReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reports := make(map[string]ShareReport, len(workspaces))
@@ -315,10 +315,10 @@
 	return reports
 }
 
-// Grant applies the divider's answer to the report that was sent at sent. rates
-// returns the rate and burst at which the bucket of a workspace was filled so
-// far. vms is the number of VMs that share the rates.
-func (s *Shares) Grant(now, sent time.Duration, vms int, grants map[string]ShareGrant, rates func(workspace string) (rate, burst float64)) {
+// ApplyGrants applies the allocator's answer to the report that was sent at
+// sent. rates returns the rate and burst at which the bucket of a workspace was
+// filled so far. vms is the number of VMs that share the rates.
+func (s *ShareLimiter) ApplyGrants(now, sent time.Duration, vms int, grants map[string]ShareGrant, rates func(workspace string) (rate, burst float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms = max(vms, 1)
--- a/internal/ratelimit/shares_test.go
+++ b/internal/ratelimit/shares_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// shareFleet simulates a divider and VMs that lose answers, restart and are cut
-// off.
+// shareFleet simulates an allocator and VMs that lose answers, restart and are
+// cut off.
 type shareFleet struct {
-	random  *rand.Rand
-	now     time.Duration
-	divider *Divider
-	vms     []*shareVM
+	random    *rand.Rand
+	now       time.Duration
+	allocator *ShareAllocator
+	vms       []*shareVM
 	// admitted lists the admitted charges in order of time.
 	admitted []shareCharge
 	// requests and refused count the requests at VMs whose lease is valid.
@@ -28,7 +28,7 @@
 type shareVM struct {
 	name             string
 	incarnation      int64
-	shares           *Shares
+	shares           *ShareLimiter
 	lastAnswer       time.Duration
 	partitionedUntil time.Duration
 	weight           float64
@@ -41,7 +41,7 @@
 )
 
 // testOvershoot is the tolerance of the deployments.
-var testOvershoot = Overshoot{Window: 8 * time.Second, Part: 0.1, Tokens: 72_000}
+var testOvershoot = Overshoot{Window: 8 * time.Second, Fraction: 0.1, Tokens: 72_000}
 
 // shareSeeds returns the first forty seeds and those that have failed: 58, 144,
 // 148, 220, 231, 265, 340 and 395 exceeded the limit when a burst began at
@@ -55,9 +55,9 @@
 }
 
 func newShareFleet(seed uint64, vms int) *shareFleet {
-	f := &shareFleet{random: rand.New(rand.NewPCG(seed, 1)), divider: NewDivider(-time.Hour, testOvershoot.Window, nil)}
+	f := &shareFleet{random: rand.New(rand.NewPCG(seed, 1)), allocator: NewShareAllocator(-time.Hour, testOvershoot.Window, nil)}
 	for i := range vms {
-		shares := NewShares(testOvershoot)
+		shares := NewShareLimiter(testOvershoot)
 		f.vms = append(f.vms, &shareVM{
 			name: fmt.Sprint("vm", i), shares: shares, weight: f.random.Float64() + 0.1,
 		})
@@ -67,11 +67,11 @@
 
 func (f *shareFleet) report(v *shareVM) {
 	reports := v.shares.Report(f.now, []string{"w"})
-	granted := f.divider.Report(f.now, v.name, v.incarnation, reports)
+	granted := f.allocator.Report(f.now, v.name, v.incarnation, reports)
 	if f.random.Float64() < 0.05 {
 		return
 	}
-	v.shares.Grant(f.now, f.now, len(f.vms), granted, func(string) (float64, float64) { return testRate, testBurst })
+	v.shares.ApplyGrants(f.now, f.now, len(f.vms), granted, func(string) (float64, float64) { return testRate, testBurst })
 	v.lastAnswer = f.now
 }
 
@@ -80,7 +80,7 @@
 	for _, v := range f.vms {
 		switch {
 		case f.random.Float64() < 0.0005:
-			v.shares, v.lastAnswer = NewShares(testOvershoot), f.now-time.Hour
+			v.shares, v.lastAnswer = NewShareLimiter(testOvershoot), f.now-time.Hour
 			v.incarnation++
 		case f.random.Float64() < 0.001:
 			v.partitionedUntil = f.now + time.Duration(f.random.IntN(8000))*time.Millisecond
@@ -138,7 +138,7 @@
 		for range 1200 {
 			f.step(4 * testRate / 8)
 		}
-		limit := (testRate*window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
+		limit := (testRate*window.Seconds()+testBurst)*(1+testOvershoot.Fraction) + testOvershoot.Tokens
 		if got := f.largestWindow(window); got > limit {
 			t.Errorf("seed %d: %.0f tokens admitted in %v, limit %.0f", seed, got, window, limit)
 		}
@@ -184,7 +184,7 @@
 // startupFraction.
 func TestNewLeaderKeepsFractionsInUse(t *testing.T) {
 	now := time.Duration(0)
-	d := NewDivider(now, testOvershoot.Window, nil)
+	d := NewShareAllocator(now, testOvershoot.Window, nil)
 	held := map[string]float64{"a": 0.5, "b": 0.3}
 	for step := range 100 {
 		now = time.Duration(step) * testStep
@@ -213,17 +213,17 @@
 	// it covers is within the rate.
 	level := burst
 	rates := func(string) (float64, float64) { return rate, burst }
-	// A front accepts requests only after its first answer from the divider.
+	// A front accepts requests only after its first answer from the allocator.
 	for _, v := range f.vms {
-		v.shares.Grant(f.now, f.now, len(f.vms), f.divider.Report(f.now, v.name, 0, v.shares.Report(f.now, []string{"w"})), rates)
+		v.shares.ApplyGrants(f.now, f.now, len(f.vms), f.allocator.Report(f.now, v.name, 0, v.shares.Report(f.now, []string{"w"})), rates)
 	}
 	for i := range 9600 {
 		f.now += testStep
 		level = min(level+rate*testStep.Seconds(), burst)
 		for j, v := range f.vms {
 			if i%10 == j {
-				granted := f.divider.Report(f.now, v.name, 0, v.shares.Report(f.now, []string{"w"}))
-				v.shares.Grant(f.now, f.now, len(f.vms), granted, rates)
+				granted := f.allocator.Report(f.now, v.name, 0, v.shares.Report(f.now, []string{"w"}))
+				v.shares.ApplyGrants(f.now, f.now, len(f.vms), granted, rates)
 			}
 			if f.random.Float64() >= rate/2/8/mean*testStep.Seconds() {
 				continue
@@ -247,14 +247,14 @@
 
 // restartAll kills all VMs and the leader, and restarts them after down. The
 // spending was recorded right before.
-func (f *shareFleet) restartAll(down time.Duration) { f.restartWith(f.divider.Totals(f.now), down) }
+func (f *shareFleet) restartAll(down time.Duration) { f.restartWith(f.allocator.Totals(f.now), down) }
 
 // restartWith does the same with the given record of the spending.
 func (f *shareFleet) restartWith(record map[string]Spending, down time.Duration) {
 	f.now += down
-	f.divider = NewDivider(f.now, testOvershoot.Window, record)
+	f.allocator = NewShareAllocator(f.now, testOvershoot.Window, record)
 	for _, v := range f.vms {
-		v.shares, v.lastAnswer = NewShares(testOvershoot), f.now-time.Hour
+		v.shares, v.lastAnswer = NewShareLimiter(testOvershoot), f.now-time.Hour
 		v.incarnation++
 		f.report(v)
 	}
@@ -272,7 +272,7 @@
 				f.restartAll(800 * time.Millisecond)
 			}
 		}
-		limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
+		limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Fraction) + testOvershoot.Tokens
 		if got := f.largestWindow(testOvershoot.Window); got > limit {
 			t.Errorf("seed %d: %.0f tokens admitted in one window, limit %.0f", seed, got, limit)
 		}
@@ -307,14 +307,14 @@
 		kill := 300 + int(seed%20)
 		for step := range 700 {
 			if f.now%RecordInterval < testStep {
-				record = f.divider.Totals(f.now)
+				record = f.allocator.Totals(f.now)
 			}
 			f.step(4 * testRate / 8)
 			if step == kill {
 				f.restartWith(record, 800*time.Millisecond)
 			}
 		}
-		limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
+		limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Fraction) + testOvershoot.Tokens
 		if got := f.largestWindow(testOvershoot.Window); got > limit {
 			t.Errorf("seed %d: %.0f tokens admitted in one window, limit %.0f", seed, got, limit)
 		}
--- a/internal/ratelimit/wait_test.go
+++ b/internal/ratelimit/wait_test.go
@@ -33,10 +33,10 @@
 // Guards against a Retry-After that ignores other VMs: a VM that had spent
 // nothing itself answered 21 ms although the other VMs had spent the window.
 func TestWaitCountsWhatOthersHaveSpent(t *testing.T) {
-	s := NewShares(testOvershoot)
-	limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Part) + testOvershoot.Tokens
+	s := NewShareLimiter(testOvershoot)
+	limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Fraction) + testOvershoot.Tokens
 	const used = 0.95
-	s.Grant(0, 0, 8, map[string]ShareGrant{"w": {Fraction: 0.1, SpentByOthers: used * limit}}, func(string) (float64, float64) {
+	s.ApplyGrants(0, 0, 8, map[string]ShareGrant{"w": {Fraction: 0.1, SpentByOthers: used * limit}}, func(string) (float64, float64) {
 		return testRate, testBurst
 	})
 	wait, ok := s.Admit(time.Millisecond, "w", testRate, testBurst, 5000)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Finished implements serving.RetryPolicy.
-func (b *Budgets) Finished(workspace, group string) {
+// RecordSuccess implements serving.RetryPolicy.
+func (b *Budgets) RecordSuccess(workspace, group string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := budgetKey{workspace, group}
--- a/internal/retry/health.go
+++ b/internal/retry/health.go
@@ -253,7 +253,7 @@
 		return outcomeNeutral
 	case errors.Is(err, serving.ErrAbandoned), errors.Is(err, context.Canceled):
 		return outcomeNeutral
-	case errors.Is(err, serving.ErrCallerGone), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, serving.ErrCallerDisconnected), errors.Is(err, context.DeadlineExceeded):
 		return outcomeNeutral
 	case errors.As(err, &status) && status.Status < 500:
 		// The target works: it refuses this request, or new requests for now.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -16,7 +16,7 @@
 func TestExtraAttemptsInFullOutage(t *testing.T) {
 	b := NewBudgets()
 	for range 10_000 {
-		b.Finished("yards", "gutachter")
+		b.RecordSuccess("yards", "gutachter")
 	}
 	const first, attempts = 400, 3
 	extra := 0
@@ -104,7 +104,7 @@
 		"bad request":      {&serving.StatusError{Status: 400}, 100, false},
 		"overload":         {&serving.StatusError{Status: 429}, 100, false},
 		"abandoned":        {serving.ErrAbandoned, 100, false},
-		"caller gone":      {serving.ErrCallerGone, 100, false},
+		"caller gone":      {serving.ErrCallerDisconnected, 100, false},
 		"server error":     {&serving.StatusError{Status: 500}, failureThreshold, true},
 		"a single failure": {serving.ErrStalled, 1, false},
 	} {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -21,11 +21,11 @@
 	// PropagationDelay is the time until the fronts know that an engine is
 	// marked as updating and send their requests elsewhere.
 	PropagationDelay = 120 * time.Millisecond
-	// DrainWait is how long an engine may drain before it is ordered to load.
+	// DrainTimeout is how long an engine may drain before it is ordered to load.
 	// Requests that run longer continue under the new weights, which wastes the
 	// output that they produce from then on. Waiting for all requests would
 	// take seconds.
-	DrainWait = 700 * time.Millisecond
+	DrainTimeout = 700 * time.Millisecond
 	// reportLag is the maximum age of the state that an engine reports.
 	reportLag = 200 * time.Millisecond
 	// retryDelay is the time until an engine that has not executed an order is
@@ -41,15 +41,15 @@
 
 // Steps of an update.
 const (
-	// Mark marks the engine as updating, so that the fronts send it no new
-	// requests.
-	Mark Step = iota + 1
-	// Order orders the engine to load the weights.
-	Order
-	// Check requests a status report from the engine.
-	Check
-	// Release clears the updating mark.
-	Release
+	// MarkUpdating marks the engine as updating, so that the fronts send it no
+	// new requests.
+	MarkUpdating Step = iota + 1
+	// OrderLoad orders the engine to load the weights.
+	OrderLoad
+	// RequestReport requests a status report from the engine.
+	RequestReport
+	// ClearUpdating clears the updating mark.
+	ClearUpdating
 )
 
 // Action is a step to execute for one engine.
@@ -161,7 +161,7 @@
 			continue
 		}
 		p.engines[t.ID] = &progress{}
-		actions = append(actions, Action{Step: Mark, Target: t, Weights: state.Weights[t.Model]})
+		actions = append(actions, Action{Step: MarkUpdating, Target: t, Weights: state.Weights[t.Model]})
 		available--
 	}
 	return actions
@@ -187,21 +187,21 @@
 	current := max(e.reportedWeights, t.Weights)
 	switch {
 	case current >= wanted:
-		return Action{Step: Release, Target: t, Weights: current}, true
+		return Action{Step: ClearUpdating, Target: t, Weights: current}, true
 	case e.callInFlight:
 		return Action{}, false
 	case now >= p.ordersFrom && e.orderDue(now):
 		e.lastOrder, e.lastCheck, e.callInFlight = now, now, true
-		return Action{Step: Order, Target: t, Weights: wanted}, true
+		return Action{Step: OrderLoad, Target: t, Weights: wanted}, true
 	case e.checkDue(now):
 		e.lastCheck, e.callInFlight = now, true
-		return Action{Step: Check, Target: t, Weights: wanted}, true
+		return Action{Step: RequestReport, Target: t, Weights: wanted}, true
 	}
 	return Action{}, false
 }
 
 func (e *progress) orderDue(now time.Duration) bool {
-	drained := e.idle || now-e.updatingSince >= DrainWait
+	drained := e.idle || now-e.updatingSince >= DrainTimeout
 	return e.reported && e.unresponsiveSince == 0 && drained && (e.lastOrder == 0 || now-e.lastOrder >= retryDelay)
 }
 
@@ -218,8 +218,8 @@
 	return now-e.lastCheck >= checkInterval
 }
 
-// State is the state that an engine has reported.
-type State struct {
+// EngineState is the state that an engine has reported.
+type EngineState struct {
 	Weights uint64
 	// Busy is true while the engine executes an order, so that no other is due.
 	Busy bool
@@ -227,8 +227,8 @@
 	Requests int
 }
 
-// Answered records the state that an engine has reported.
-func (p *Planner) Answered(now time.Duration, id string, state State) {
+// RecordReport records the state that an engine has reported.
+func (p *Planner) RecordReport(now time.Duration, id string, state EngineState) {
 	e := p.engines[id]
 	if e == nil {
 		return
@@ -241,8 +241,8 @@
 	}
 }
 
-// Silent records that an engine did not answer a call.
-func (p *Planner) Silent(now time.Duration, id string) {
+// RecordNoResponse records that an engine did not answer a call.
+func (p *Planner) RecordNoResponse(now time.Duration, id string) {
 	e := p.engines[id]
 	if e == nil {
 		return
@@ -253,5 +253,6 @@
 	}
 }
 
-// Released removes the progress of an engine whose updating mark was cleared.
-func (p *Planner) Released(id string) { delete(p.engines, id) }
+// RemoveEngine removes the progress of an engine whose updating mark was
+// cleared.
+func (p *Planner) RemoveEngine(id string) { delete(p.engines, id) }
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -61,22 +61,22 @@
 func (s *simulation) execute(a Action) {
 	t := s.state.Targets[a.Target.ID]
 	switch a.Step {
-	case Mark:
+	case MarkUpdating:
 		t.Updating = true
-	case Release:
+	case ClearUpdating:
 		t.Updating = false
-		s.planner.Released(t.ID)
-	case Order, Check:
+		s.planner.RemoveEngine(t.ID)
+	case OrderLoad, RequestReport:
 		if s.unresponsive[t.ID] {
-			s.planner.Silent(s.now, t.ID)
+			s.planner.RecordNoResponse(s.now, t.ID)
 			return
 		}
-		if a.Step == Order {
+		if a.Step == OrderLoad {
 			s.orders[t.ID]++
 			s.loadedAt[t.ID] = s.now + loadTime
 		}
 		_, busy := s.loadedAt[t.ID]
-		s.planner.Answered(s.now, t.ID, State{Weights: t.Weights, Busy: busy})
+		s.planner.RecordReport(s.now, t.ID, EngineState{Weights: t.Weights, Busy: busy})
 	}
 	s.state.Targets[t.ID] = t
 }
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -50,7 +50,7 @@
 	}
 	snap := q.req.Call.Snapshot
 	rate := float64(snap.Document.Limits.RegionLinkBytesPerSecond)
-	if !p.regionLink.available(q.now, rate/float64(max(1, snap.Slots()))) {
+	if !p.regionLink.available(q.now, rate/float64(max(1, snap.VMSlots()))) {
 		return best, ok
 	}
 	transfer := time.Duration(float64(len(q.req.Call.Body)) / rate * float64(time.Second))
--- a/internal/routing/kv.go
+++ b/internal/routing/kv.go
@@ -62,7 +62,7 @@
 // second use shows that the prefix is shared. Blocks that are faster to compute
 // than to import are not exported.
 func (p *Picker) exportToStore(q *query, c *choice, scope prefix.ScopeDigest) {
-	if p.Export == nil || c.crossRegion || q.blockImport >= q.blockPrefill || len(q.group.stores) == 0 || c.heldBlocks <= q.storeBlocks || !c.target.Capabilities.KV {
+	if p.OnExport == nil || c.crossRegion || q.blockImport >= q.blockPrefill || len(q.group.stores) == 0 || c.heldBlocks <= q.storeBlocks || !c.target.Capabilities.KV {
 		return
 	}
 	store := q.store
@@ -71,13 +71,13 @@
 	}
 	snap := q.req.Call.Snapshot
 	blocks := q.chain[:c.heldBlocks]
-	rate := kvBytesPerSecond * exportBandwidthShare / float64(max(1, snap.Slots()))
+	rate := kvBytesPerSecond * exportBandwidthShare / float64(max(1, snap.VMSlots()))
 	if !store.target.Usable(q.now) || !p.exportLimiter.cooldownElapsed(blocks[len(blocks)-1], q.now) || !p.exportLimiter.bucket.available(q.now, rate) {
 		return
 	}
 	p.exportLimiter.lastExport[blocks[len(blocks)-1]] = q.now
 	p.exportLimiter.bucket.take((c.heldBlocks - q.storeBlocks) * kvBlockBytes(snap, q.req.Call.Model))
-	p.Export(Export{Store: store.target, Source: c.target, Scope: scope, Blocks: blocks})
+	p.OnExport(Export{Store: store.target, Source: c.target, Scope: scope, Blocks: blocks})
 }
 
 // cooldownElapsed reports whether the chain ending with h may be exported
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -23,9 +23,9 @@
 	Penalty(ref target.Ref) time.Duration
 }
 
-// Lookup asks the VM that owns a chain which targets hold it. It reports false
-// if this VM is the owner or if the owner did not answer in time.
-type Lookup interface {
+// OwnerLookup asks the VM that owns a chain which targets hold it. It reports
+// false if this VM is the owner or if the owner did not answer in time.
+type OwnerLookup interface {
 	Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool)
 }
 
@@ -40,16 +40,16 @@
 	// Index holds the chains that this VM owns and the predictions from its own
 	// dispatches.
 	Index *prefix.Index
-	// Remote asks the owner of a chain; nil if this VM owns all chains.
-	Remote Lookup
+	// OwnerLookup asks the owner of a chain; nil if this VM owns all chains.
+	OwnerLookup OwnerLookup
 	// Health is optional.
 	Health Health
-	// Dispatched reports each dispatch, and each failed attempt, to the other
+	// OnDispatch reports each dispatch, and each failed attempt, to the other
 	// VMs. It is optional and must not block.
-	Dispatched func(d Dispatch)
-	// Export requests a copy of blocks to a KV store. It is optional and must
+	OnDispatch func(d Dispatch)
+	// OnExport requests a copy of blocks to a KV store. It is optional and must
 	// not block.
-	Export func(e Export)
+	OnExport func(e Export)
 	// Zone and Region are where this VM runs.
 	Zone, Region string
 
@@ -71,18 +71,19 @@
 	// Ref is the chosen target.
 	Ref target.Ref
 	// Chain lists the block hashes of the prompt. The target is expected to hold
-	// the first Held blocks.
-	Chain []prefix.Hash
-	Held  int
-	// Work is the expected prefill time.
-	Work time.Duration
+	// the first HeldBlocks blocks.
+	Chain      []prefix.Hash
+	HeldBlocks int
+	// PrefillTime is the expected prefill time.
+	PrefillTime time.Duration
 	// Failed is true if the attempt failed; it retracts the earlier dispatch.
 	Failed bool
 }
 
-// Elsewhere adds a request dispatched by another VM to the load estimate of the
-// target. The index records separately which blocks the target will hold.
-func (p *Picker) Elsewhere(ref target.Ref, work time.Duration) {
+// AddPeerDispatch adds a request dispatched by another VM to the load estimate
+// of the target. The index records separately which blocks the target will
+// hold.
+func (p *Picker) AddPeerDispatch(ref target.Ref, work time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.loads[ref.ID]; ok && l.ref == ref {
@@ -90,9 +91,9 @@
 	}
 }
 
-// Report applies the load report of a target that sends no heartbeats to this
-// VM.
-func (p *Picker) Report(ref target.Ref, reported target.Load, snap *config.Snapshot) {
+// ApplyLoadReport applies the load report of a target that sends no heartbeats
+// to this VM.
+func (p *Picker) ApplyLoadReport(ref target.Ref, reported target.Load, snap *config.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, known := p.Registry.Get(ref.ID)
@@ -124,8 +125,8 @@
 func (p *Picker) PickChain(ctx context.Context, req serving.PickRequest, hint serving.PrefixHint) (*serving.Pick, *serving.Refusal) {
 	var holdings []prefix.Holding
 	ownerAnswered := false
-	if p.Remote != nil && len(hint.Blocks) > 0 {
-		holdings, ownerAnswered = p.Remote.Lookup(ctx, hint.Blocks)
+	if p.OwnerLookup != nil && len(hint.Blocks) > 0 {
+		holdings, ownerAnswered = p.OwnerLookup.Lookup(ctx, hint.Blocks)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,8 +234,8 @@
 		p.Index.Predict(ref, q.chain, c.heldBlocks)
 		p.recentChoices.add(q.now, ref, q.chain)
 	}
-	if p.Dispatched != nil {
-		p.Dispatched(Dispatch{Ref: ref, Chain: q.chain, Held: c.heldBlocks, Work: c.prefill})
+	if p.OnDispatch != nil {
+		p.OnDispatch(Dispatch{Ref: ref, Chain: q.chain, HeldBlocks: c.heldBlocks, PrefillTime: c.prefill})
 	}
 	if c.importsKV {
 		hint.KVSource = q.store.target.URL
@@ -258,8 +259,8 @@
 	c.load.finishOwn()
 	if result.Err != nil {
 		p.Index.RetractPredicted(c.target.Ref(), q.chain)
-		if p.Dispatched != nil && len(q.chain) > 0 {
-			p.Dispatched(Dispatch{Ref: c.target.Ref(), Chain: q.chain, Failed: true})
+		if p.OnDispatch != nil && len(q.chain) > 0 {
+			p.OnDispatch(Dispatch{Ref: c.target.Ref(), Chain: q.chain, Failed: true})
 		}
 		return
 	}
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -50,7 +50,7 @@
 	if a.Region == "" {
 		a.Zone, a.Region = "a", "r"
 	}
-	f.Registry.Announce(a, f.now)
+	f.Registry.MergeAnnouncement(a, f.now)
 	f.view = nil
 }
 
@@ -140,9 +140,9 @@
 	if _, refusal := f.pick(req, chain); refusal == nil || refusal.Run != serving.NotRun {
 		t.Errorf("refusal = %v, want one marked not-run", refusal)
 	}
-	f.now = f.now.Add(target.LiveFor)
+	f.now = f.now.Add(target.HeartbeatTimeout)
 	if pick, _ := f.pick(f.request("w"), chain); pick != nil {
-		t.Errorf("picked target %s, which has sent no heartbeat within target.LiveFor", pick.Target.ID)
+		t.Errorf("picked target %s, which has sent no heartbeat within target.HeartbeatTimeout", pick.Target.ID)
 	}
 }
 
@@ -203,13 +203,13 @@
 	f := newFixture(t)
 	f.announceEngines(2)
 	first := f.mustPick(nil).Target
-	f.Elsewhere(first.Ref(), time.Second)
+	f.AddPeerDispatch(first.Ref(), time.Second)
 	for range 10 {
 		if pick := f.mustPick(nil); pick.Target.ID == first.ID {
 			t.Fatal("picked the target to which another VM had dispatched a request")
 		}
 	}
-	f.Elsewhere(target.Ref{ID: "e0", Incarnation: 9}, time.Second)
+	f.AddPeerDispatch(target.Ref{ID: "e0", Incarnation: 9}, time.Second)
 	f.now = f.now.Add(2 * time.Second)
 	f.announceEngines(2)
 	used := map[string]bool{}
@@ -228,7 +228,7 @@
 	f.announceEngines(2)
 	f.mustPick(nil)
 	busy := target.Ref{ID: "e0", Incarnation: 1}
-	f.Report(busy, target.Load{Running: 64, Waiting: 64}, f.snap)
+	f.ApplyLoadReport(busy, target.Load{Running: 64, Waiting: 64}, f.snap)
 	for range 20 {
 		if pick := f.mustPick(nil); pick.Target.ID == "e0" {
 			t.Fatal("picked the target whose batch slots are full")
@@ -260,11 +260,11 @@
 			f.snap = config.NewSnapshot(config.Document{Models: map[string]config.Model{"m": {ServingVersion: "v1", KVBytesPerToken: test.bytesPerToken}}}, 1)
 			f.announce(target.Announcement{ID: "e0", BatchSlots: 64, Capabilities: target.Capabilities{KV: true}})
 			store := target.Announcement{ID: "kv", Incarnation: 1, Sequence: 1, Kind: target.KindKVStore, Zone: "a", Region: test.region, URL: "http://store"}
-			f.Registry.Announce(store, f.now)
+			f.Registry.MergeAnnouncement(store, f.now)
 			chain := chainOf(1, 10)
 			f.Index.Predict(target.Ref{ID: "kv", Incarnation: 1}, chain[:8], 0)
 			var exported []prefix.Hash
-			f.Export = func(e Export) { exported = e.Blocks }
+			f.OnExport = func(e Export) { exported = e.Blocks }
 			defer func() {
 				if f.mustPick(chain); (len(exported) == len(chain)) != test.imports {
 					t.Errorf("exported %d blocks of a reused chain; want all 10 exactly if importing is faster than the prefill", len(exported))
@@ -310,11 +310,11 @@
 	f := newFixture(t)
 	f.announceEngines(4)
 	chain := chainOf(1, 10)
-	f.Remote = fakeOwner{[]prefix.Holding{{Ref: target.Ref{ID: "e3", Incarnation: 1}, Blocks: 10}}}
+	f.OwnerLookup = fakeOwner{[]prefix.Holding{{Ref: target.Ref{ID: "e3", Incarnation: 1}, Blocks: 10}}}
 	if pick := f.mustPick(chain); pick.Target.ID != "e3" || pick.ExpectedCachedTokens != 10000 {
 		t.Errorf("picked %s, want e3 with 10000 expected cached tokens", pick.Target.ID)
 	}
-	f.Remote = fakeOwner{}
+	f.OwnerLookup = fakeOwner{}
 	if pick := f.mustPick(chain); pick.Target.ID != "e3" {
 		t.Error("did not use this VM's own index when the owner did not answer")
 	}
@@ -326,11 +326,11 @@
 	f := newFixture(t)
 	f.announceEngines(2)
 	var dispatched []Dispatch
-	f.Dispatched = func(d Dispatch) { dispatched = append(dispatched, d) }
+	f.OnDispatch = func(d Dispatch) { dispatched = append(dispatched, d) }
 	chain := chainOf(1, 10)
 	pick := f.mustPick(chain)
 	pick.Done(serving.AttemptResult{Err: context.DeadlineExceeded})
-	if got := f.Index.Longest(chain); got != 0 {
+	if got := f.Index.LongestMatch(chain); got != 0 {
 		t.Errorf("index still holds %d blocks after the failed dispatch, want 0", got)
 	}
 	if len(dispatched) != 2 || dispatched[0].Failed || !dispatched[1].Failed || dispatched[1].Ref != pick.Target.Ref() {
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -55,7 +55,7 @@
 	v := &view{built: now, layoutVersion: p.Index.LayoutVersion(), groups: make(map[groupKey]*candidateGroup)}
 	v.targets = p.Registry.All()
 	for _, t := range v.targets {
-		p.loadFor(t).applyHeartbeat(t, t.LastHeard.Sub(p.epoch), tokensPerSecond(snap, t.Model))
+		p.loadFor(t).applyHeartbeat(t, t.LastHeartbeat.Sub(p.epoch), tokensPerSecond(snap, t.Model))
 	}
 	p.pruneLoads(v)
 	p.view = v
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -129,7 +129,7 @@
 		c.Check(c.startVM(v))
 	}
 	cmdReady(c, nil)
-	edit, err := sections.FirstEdit("first", c.document)
+	edit, err := sections.InitialEdit("first", c.document)
 	c.Check(err)
 	v := c.vms[c.names[0]]
 	c.waitFor("acceptance of the first configuration", func() bool { return applyEdit(v, edit) == configv1.Outcome_OUTCOME_ACCEPTED })
@@ -146,7 +146,7 @@
 	}
 	for _, v := range c.vms {
 		if v.node != nil {
-			c.waitFor("readiness of VM "+v.settings.VM, func() bool { return v.node.Knows(up, len(c.engines)+len(c.services)) })
+			c.waitFor("readiness of VM "+v.settings.VM, func() bool { return v.node.SeesAtLeast(up, len(c.engines)+len(c.services)) })
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	id, zone := args[0], args[1]
 	e, err := standin.StartEngine("127.0.0.1:0", standin.EngineOptions{
 		ID: id, Zone: zone, Region: zoneRegions[zone], Model: modelName, Version: "v1",
-		TokenInterval: interval, BatchSlots: 64, Announce: c.targetListenerURLs(zone),
+		TokenInterval: interval, BatchSlots: 64, AnnounceURLs: c.targetListenerURLs(zone),
 	})
 	c.Check(err)
 	c.network.add(site{id, zone, zoneRegions[zone]}, strings.TrimPrefix(e.URL(), "http://"))
@@ -172,10 +172,10 @@
 
 // cmdService starts a replica of a plain service: service NAME ID ZONE.
 func cmdService(c *testCluster, args []string) {
-	address, err := loopback.Address()
+	address, err := loopback.AllocateAddress()
 	c.Check(err)
 	id, zone := args[1], args[2]
-	s, err := standin.StartService(address, standin.ServiceOptions{ID: id, Zone: zone, Region: zoneRegions[zone], Service: args[0], Announce: c.targetListenerURLs(zone)})
+	s, err := standin.StartService(address, standin.ServiceOptions{ID: id, Zone: zone, Region: zoneRegions[zone], Service: args[0], AnnounceURLs: c.targetListenerURLs(zone)})
 	c.Check(err)
 	c.network.add(site{id, zone, zoneRegions[zone]}, address)
 	c.services[id] = s
@@ -193,7 +193,7 @@
 // cmdSilence blackholes the open connections of an engine: silence ID. At least
 // one connection must be open.
 func cmdSilence(c *testCluster, args []string) {
-	if c.engines[args[0]].Silence() == 0 {
+	if c.engines[args[0]].BlackholeConnections() == 0 {
 		c.Fatalf("engine has no open connection to blackhole")
 	}
 }
@@ -220,7 +220,7 @@
 
 func (c *testCluster) findBusyEngine() string {
 	for id, e := range c.engines {
-		if e.Running() > 0 {
+		if e.InFlight() > 0 {
 			return id
 		}
 	}
@@ -408,7 +408,7 @@
 func cmdWithdraw(c *testCluster, args []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.ToBytes([]keys.Hash{keys.Sum(callerKey)}), EditId: "withdrawal"}
+	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.EncodeHashes([]keys.Hash{keys.HashKey(callerKey)}), EditId: "withdrawal"}
 	_, err := adminClient(c.runningVM(args[0])).WithdrawKeys(ctx, request)
 	c.Check(err)
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -95,7 +95,7 @@
 func baseDocument(slots map[string]int, rate config.Rate) config.Document {
 	d := config.Document{
 		Models:     map[string]config.Model{modelName: {ServingVersion: "v1"}},
-		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.Sum(callerKey).String()}}}},
+		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.HashKey(callerKey).String()}}}},
 		Rates:      map[string]config.Rate{"yards": rate},
 		Routes: map[string]config.Route{
 			"grade":  {Kind: config.KindModel, Model: modelName, MaxAttempts: 6, FirstTokenTimeoutMS: 5000, TokenGapTimeoutMS: 3000, TimeoutMS: 60000},
@@ -113,7 +113,7 @@
 func (c *testCluster) addVM(zone string, slot int) error {
 	s := settings.Settings{VM: fmt.Sprintf("%s-%d", zone, slot), Zone: zone, Region: zoneRegions[zone], Slot: slot}
 	for _, a := range []*string{&s.CallerAddress, &s.TargetAddress, &s.PeerAddress, &s.GossipAddress, &s.AdminAddress} {
-		address, err := loopback.Address()
+		address, err := loopback.AllocateAddress()
 		if err != nil {
 			return err
 		}
@@ -138,7 +138,7 @@
 		}
 	}
 	for _, v := range c.vms {
-		v.settings.Voters, v.settings.Join = voters, addresses
+		v.settings.InitialVoters, v.settings.Join = voters, addresses
 	}
 }
 
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -138,14 +138,14 @@
 		if err != nil {
 			return f.failureRefusal(ctx, err)
 		}
-		f.service.Retries.Finished(f.call.Workspace, f.call.Route.Service)
+		f.service.Retries.RecordSuccess(f.call.Workspace, f.call.Route.Service)
 		return nil
 	}
 }
 
 // attempt makes one attempt, hedged if the route is configured so. If it
 // returns neither a response nor a refusal, another attempt is allowed.
-func (f *forwarder) attempt(ctx context.Context) (*ServiceAnswer, *Pick, *Refusal) {
+func (f *forwarder) attempt(ctx context.Context) (*ServiceResponse, *Pick, *Refusal) {
 	pick, refusal := f.pick(ctx)
 	if refusal != nil {
 		return nil, nil, f.finalRefusal(ctx, refusal)
@@ -195,7 +195,7 @@
 // each response in flight holds.
 const relayBufferBytes = 16 << 10
 
-func (f *forwarder) relay(resp *ServiceAnswer) error {
+func (f *forwarder) relay(resp *ServiceResponse) error {
 	defer resp.Body.Close()
 	f.responseStarted = true
 	f.sink.Begin(resp.Status, resp.Header)
--- a/internal/serving/forward_once.go
+++ b/internal/serving/forward_once.go
@@ -72,7 +72,7 @@
 }
 
 // dispatch makes one attempt and counts it.
-func (f *forwarder) dispatch(ctx context.Context, pick *Pick) (*ServiceAnswer, error) {
+func (f *forwarder) dispatch(ctx context.Context, pick *Pick) (*ServiceResponse, error) {
 	f.attempts++
 	resp, err := f.service.Services.Do(ctx, pick.Target, f.call, f.req)
 	f.recordDispatch(err)
@@ -82,15 +82,15 @@
 // relayAndStore passes a response on and stores it as the outcome of the call.
 // If the response is small enough to be stored whole, it is stored before the
 // caller gets it.
-func (f *forwarder) relayAndStore(resp *ServiceAnswer) error {
+func (f *forwarder) relayAndStore(resp *ServiceResponse) error {
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxStoredAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxStoredResponseBytes+1))
 	if err != nil {
 		return err
 	}
 	f.responseStarted = true
-	stored := StoredAnswer{Status: resp.Status, ContentType: resp.Header.Get("Content-Type"), Body: body}
-	if len(body) <= MaxStoredAnswer {
+	stored := StoredResponse{Status: resp.Status, ContentType: resp.Header.Get("Content-Type"), Body: body}
+	if len(body) <= MaxStoredResponseBytes {
 		f.service.completeClaim(f.call, stored)
 		f.sink.Begin(resp.Status, resp.Header)
 		return copyBody(f.sink, bytes.NewReader(body))
@@ -109,7 +109,7 @@
 	HeaderTruncated = "Cuminwing-Body-Not-Stored"
 )
 
-func (f *forwarder) replay(stored StoredAnswer) *Refusal {
+func (f *forwarder) replay(stored StoredResponse) *Refusal {
 	f.sink.Begin(stored.Status, StoredHeader(stored))
 	if err := copyBody(f.sink, bytes.NewReader(stored.Body)); err != nil {
 		var gone *callerGoneError
--- a/internal/serving/hedge.go
+++ b/internal/serving/hedge.go
@@ -8,7 +8,7 @@
 )
 
 // StoredHeader returns the header with which a stored response is sent.
-func StoredHeader(stored StoredAnswer) http.Header {
+func StoredHeader(stored StoredResponse) http.Header {
 	header := http.Header{}
 	if stored.ContentType != "" {
 		header.Set("Content-Type", stored.ContentType)
@@ -24,7 +24,7 @@
 type hedgeAttempt struct {
 	pick   *Pick
 	cancel context.CancelFunc
-	resp   *ServiceAnswer
+	resp   *ServiceResponse
 	err    error
 }
 
@@ -33,7 +33,7 @@
 // at another target. The first response wins and the other attempt is
 // cancelled. A call whose body is not buffered is not hedged, because its body
 // can be sent only once.
-func (f *forwarder) dispatchHedged(ctx context.Context, pick *Pick) (*ServiceAnswer, *Pick, error) {
+func (f *forwarder) dispatchHedged(ctx context.Context, pick *Pick) (*ServiceResponse, *Pick, error) {
 	if f.call.Route.HedgeAfterMS <= 0 || !f.req.Buffered {
 		resp, err := f.dispatch(ctx, pick)
 		if err != nil {
--- a/internal/serving/once.go
+++ b/internal/serving/once.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxStoredAnswer is the largest response body in bytes that is stored for
-// resends.
-const MaxStoredAnswer = 64 << 10
+// MaxStoredResponseBytes is the largest response body in bytes that is stored
+// for resends.
+const MaxStoredResponseBytes = 64 << 10
 
 // claimUpdateTimeout limits how long a response waits for the update of its
-// claim. Claims keeps retrying after that. Until it succeeds, resends are
+// claim. ClaimStore keeps retrying after that. Until it succeeds, resends are
 // refused with the run state "unknown".
 const claimUpdateTimeout = time.Second
 
@@ -41,7 +41,7 @@
 // acquireClaim commits the intent to run. If it returns neither a response nor
 // a refusal, this request may be dispatched and no other request with the same
 // key may.
-func (s *Service) acquireClaim(ctx context.Context, call *Call) (*StoredAnswer, *Refusal) {
+func (s *Service) acquireClaim(ctx context.Context, call *Call) (*StoredResponse, *Refusal) {
 	status, stored := s.Claims.Claim(ctx, newClaim(call))
 	switch status {
 	case ClaimGranted:
@@ -60,8 +60,8 @@
 
 // completeClaim stores the outcome. It does not use the context of the request,
 // so that the outcome is stored even if the caller has disconnected.
-func (s *Service) completeClaim(call *Call, resp StoredAnswer) {
-	if len(resp.Body) > MaxStoredAnswer {
+func (s *Service) completeClaim(call *Call, resp StoredResponse) {
+	if len(resp.Body) > MaxStoredResponseBytes {
 		resp.Body = nil
 		resp.Truncated = true
 	}
@@ -105,7 +105,7 @@
 	for {
 		err := r.attempt(ctx, pick)
 		if err == nil {
-			r.service.Retries.Finished(r.call.Workspace, r.call.Model)
+			r.service.Retries.RecordSuccess(r.call.Workspace, r.call.Model)
 			return nil
 		}
 		if r.dispatched {
@@ -128,7 +128,7 @@
 func (r *requestRunner) afterDispatchFailure(ctx context.Context, err error) *Refusal {
 	var status *StatusError
 	if errors.As(err, &status) && isRequestError(status.Status) {
-		r.service.completeClaim(r.call, StoredAnswer{Status: status.Status, ContentType: status.ContentType, Body: status.Body})
+		r.service.completeClaim(r.call, StoredResponse{Status: status.Status, ContentType: status.ContentType, Body: status.Body})
 	}
 	if ended := contextRefusal(ctx, r.runState()); ended != nil {
 		return ended
--- a/internal/serving/ports.go
+++ b/internal/serving/ports.go
@@ -173,8 +173,8 @@
 	ClaimUncertain
 )
 
-// StoredAnswer is the stored response of an at-most-once request.
-type StoredAnswer struct {
+// StoredResponse is the stored response of an at-most-once request.
+type StoredResponse struct {
 	// Status is the HTTP status code.
 	Status int
 	// ContentType is the media type of the body.
@@ -185,12 +185,13 @@
 	Truncated bool
 }
 
-// Claims stores the claims of at-most-once requests where every VM sees them.
-type Claims interface {
+// ClaimStore stores the claims of at-most-once requests where every VM sees
+// them.
+type ClaimStore interface {
 	// Claim records the intent to run.
-	Claim(ctx context.Context, claim Claim) (ClaimStatus, StoredAnswer)
+	Claim(ctx context.Context, claim Claim) (ClaimStatus, StoredResponse)
 	// Complete stores the outcome.
-	Complete(ctx context.Context, claim Claim, resp StoredAnswer) error
+	Complete(ctx context.Context, claim Claim, resp StoredResponse) error
 	// Release withdraws a granted claim. It must be called only if no byte can
 	// have reached a target.
 	Release(ctx context.Context, claim Claim) error
@@ -256,8 +257,8 @@
 	// Allow takes one extra attempt from the budgets of the workspace and the
 	// target group. It returns false if a budget is spent.
 	Allow(workspace, group string) bool
-	// Finished counts one successful request, which refills the budgets.
-	Finished(workspace, group string)
+	// RecordSuccess counts one successful request, which refills the budgets.
+	RecordSuccess(workspace, group string)
 }
 
 // EngineRequest is one attempt at an engine.
@@ -323,14 +324,14 @@
 	Close()
 }
 
-// Engines opens streams to engines.
-type Engines interface {
+// EngineClient opens streams to engines.
+type EngineClient interface {
 	// Open dispatches one attempt.
 	Open(ctx context.Context, t *target.Target, req EngineRequest) (ChunkStream, error)
 }
 
-// DialError is returned by Engines.Open and Services.Do if no byte of the
-// request can have left this VM.
+// DialError is returned by EngineClient.Open and ServiceClient.Do if no byte of
+// the request can have left this VM.
 type DialError struct{ Err error }
 
 // Error returns the message of the cause with a prefix.
@@ -354,8 +355,8 @@
 	ContentLength int64
 }
 
-// ServiceAnswer is the response of a plain service.
-type ServiceAnswer struct {
+// ServiceResponse is the response of a plain service.
+type ServiceResponse struct {
 	// Status and Header are as received from the target, without hop-by-hop
 	// fields.
 	Status int
@@ -365,11 +366,11 @@
 	Body io.ReadCloser
 }
 
-// Services calls plain services.
-type Services interface {
+// ServiceClient calls plain services.
+type ServiceClient interface {
 	// Do dispatches one attempt and waits for the response header. The layers
 	// below must not send the request a second time.
-	Do(ctx context.Context, t *target.Target, call *Call, req ServiceRequest) (*ServiceAnswer, error)
+	Do(ctx context.Context, t *target.Target, call *Call, req ServiceRequest) (*ServiceResponse, error)
 }
 
 // ServiceSink passes the response of a plain service to the caller.
@@ -423,8 +424,8 @@
 	WastedTokens int
 }
 
-// Ledger takes usage records. Record must not block.
-type Ledger interface {
+// UsageRecorder takes usage records. Record must not block.
+type UsageRecorder interface {
 	Record(u UsageRecord)
 }
 
@@ -442,9 +443,9 @@
 	Complete bool
 	// Refusal is the refusal code, or empty if there was none.
 	Refusal string
-	// Cause names what contributed most to the time to the first token:
-	// "queue", "prefill" or "retry".
-	Cause string
+	// FirstTokenCause names what contributed most to the time to the first
+	// token: "queue", "prefill" or "retry".
+	FirstTokenCause string
 	// Attempts is the number of attempts.
 	Attempts int
 	// PromptTokens, CachedTokens and WastedTokens are the inputs of the prefix
@@ -463,11 +464,12 @@
 type Sink interface {
 	// Chunk passes one event on. An error means that the caller disconnected.
 	Chunk(c Chunk) error
-	// Restart discards the events so far. It returns false if the caller has
+	// Reset discards the events so far. It returns false if the caller has
 	// received any of them.
-	Restart() bool
-	// Stored returns the response in the form in which a resend must get it.
-	Stored() StoredAnswer
+	Reset() bool
+	// StoredResponse returns the response in the form in which a resend must
+	// get it.
+	StoredResponse() StoredResponse
 	// Replay sends a stored response.
-	Replay(resp StoredAnswer)
+	Replay(resp StoredResponse)
 }
--- a/internal/serving/refusal.go
+++ b/internal/serving/refusal.go
@@ -8,16 +8,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCallerGone matches the result of an attempt that ended because the caller
-// disconnected.
-var ErrCallerGone = errors.New("caller disconnected")
+// ErrCallerDisconnected matches the result of an attempt that ended because the
+// caller disconnected.
+var ErrCallerDisconnected = errors.New("caller disconnected")
 
 // callerGoneError means that the response could not be written to the caller.
 type callerGoneError struct{ err error }
 
 func (e *callerGoneError) Error() string { return "caller is gone: " + e.err.Error() }
 
-func (e *callerGoneError) Unwrap() []error { return []error{ErrCallerGone, e.err} }
+func (e *callerGoneError) Unwrap() []error { return []error{ErrCallerDisconnected, e.err} }
 
 // targetRetryAfter is the minimum Retry-After sent to callers after a target
 // failed.
--- a/internal/serving/run.go
+++ b/internal/serving/run.go
@@ -58,7 +58,7 @@
 		}
 		err := r.attempt(ctx, pick)
 		if err == nil {
-			r.service.Retries.Finished(r.call.Workspace, r.call.Model)
+			r.service.Retries.RecordSuccess(r.call.Workspace, r.call.Model)
 			return nil
 		}
 		if refusal := r.afterFailure(ctx, pick.Target, err); refusal != nil {
@@ -134,7 +134,7 @@
 // restartResponse discards the response so far. It returns false if the caller
 // has received any of it.
 func (r *requestRunner) restartResponse() bool {
-	if !r.sink.Restart() {
+	if !r.sink.Reset() {
 		return false
 	}
 	r.wastedTokens += r.tracker.Delivered()
@@ -219,7 +219,7 @@
 		return stream.ErrIncomplete
 	}
 	if r.call.Route.Run == config.RunAtMostOnce {
-		r.service.completeClaim(r.call, r.sink.Stored())
+		r.service.completeClaim(r.call, r.sink.StoredResponse())
 	}
 	return r.sendChunk(done)
 }
--- a/internal/serving/service.go
+++ b/internal/serving/service.go
@@ -13,16 +13,16 @@
 
 // Service runs requests. All fields must be set.
 type Service struct {
-	Clock    Clock
-	Limiter  Limiter
-	Queue    Queue
-	Claims   Claims
-	Picker   Picker
-	Retries  RetryPolicy
-	Engines  Engines
-	Services Services
-	Ledger   Ledger
-	Observer Observer
+	Clock         Clock
+	Limiter       Limiter
+	Queue         Queue
+	Claims        ClaimStore
+	Picker        Picker
+	Retries       RetryPolicy
+	Engines       EngineClient
+	Services      ServiceClient
+	UsageRecorder UsageRecorder
+	Observer      Observer
 }
 
 // Outcome is the result of a request.
@@ -132,20 +132,20 @@
 		record.PromptTokens = r.promptTokens
 		record.CompletionTokens = delivered
 	}
-	r.service.Ledger.Record(record)
+	r.service.UsageRecorder.Record(record)
 }
 
 func (r *requestRunner) observe(refusal *Refusal) {
 	sample := Sample{
-		Route:        r.call.RouteName,
-		Workspace:    r.call.Workspace,
-		MaxTokenGap:  r.maxTokenGap,
-		Complete:     refusal == nil,
-		Attempts:     r.attempts,
-		PromptTokens: r.promptTokens,
-		CachedTokens: r.cachedTokens,
-		WastedTokens: r.wastedTokens,
-		Cause:        r.firstTokenCause(),
+		Route:           r.call.RouteName,
+		Workspace:       r.call.Workspace,
+		MaxTokenGap:     r.maxTokenGap,
+		Complete:        refusal == nil,
+		Attempts:        r.attempts,
+		PromptTokens:    r.promptTokens,
+		CachedTokens:    r.cachedTokens,
+		WastedTokens:    r.wastedTokens,
+		FirstTokenCause: r.firstTokenCause(),
 	}
 	if refusal != nil {
 		sample.Refusal = refusal.Code
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,9 +44,9 @@
 	// DataFolder is the directory for durable state; empty on a VM without a
 	// disk.
 	DataFolder string `json:"data_folder,omitempty"`
-	// Voters maps the names of the initial voters of the control log to their
-	// peer addresses. It must be the same in the settings of every VM.
-	Voters map[string]string `json:"voters"`
+	// InitialVoters maps the names of the initial voters of the control log to
+	// their peer addresses. It must be the same in the settings of every VM.
+	InitialVoters map[string]string `json:"voters"`
 	// ClusterSecretFile is the file with the shared secret that authenticates
 	// gossip.
 	ClusterSecretFile string `json:"cluster_secret_file,omitempty"`
@@ -115,9 +115,9 @@
 	return s, errors.Join(s.check(name)...)
 }
 
-// Voter reports whether this VM is one of the initial voters.
-func (s *Settings) Voter() bool {
-	_, ok := s.Voters[s.VM]
+// IsInitialVoter reports whether this VM is one of the initial voters.
+func (s *Settings) IsInitialVoter() bool {
+	_, ok := s.InitialVoters[s.VM]
 	return ok
 }
 
@@ -177,16 +177,16 @@
 }
 
 func (s *Settings) checkVoters(c *checker) {
-	if n := len(s.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
+	if n := len(s.InitialVoters); n != 1 && n != 3 && n != 5 && n != 7 {
 		c.addProblem("$.voters", fmt.Sprintf("has %d VMs, want 1, 3, 5 or 7", n))
 	}
-	for vm, addr := range s.Voters {
+	for vm, addr := range s.InitialVoters {
 		c.requireAddress("$.voters."+vm, addr)
 	}
-	if s.Voter() && s.DataFolder == "" {
+	if s.IsInitialVoter() && s.DataFolder == "" {
 		c.addProblem("$.data_folder", "is required because this VM is a voter")
 	}
-	if addr, ok := s.Voters[s.VM]; ok && addr != s.PeerAddress {
+	if addr, ok := s.InitialVoters[s.VM]; ok && addr != s.PeerAddress {
 		c.addProblem("$.voters."+s.VM, fmt.Sprintf("is %s but peer_address is %s", addr, s.PeerAddress))
 	}
 }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -13,8 +13,8 @@
 type CacheOptions struct {
 	// KVStore selects a KV store, which stores blocks but serves no completions.
 	KVStore bool
-	// Blocks is the cache capacity in blocks; zero disables the cache.
-	Blocks int
+	// CapacityBlocks is the cache capacity in blocks; zero disables the cache.
+	CapacityBlocks int
 	// BlockTokens is the number of tokens per block.
 	BlockTokens int
 	// PrefillTokensPerSecond is the prefill speed; with zero, prefill is
@@ -22,10 +22,10 @@
 	PrefillTokensPerSecond float64
 	// ImportPerBlock is the time to import one block.
 	ImportPerBlock time.Duration
-	// EventLag delays cache events. EventLoss is the fraction of them that is
-	// dropped.
-	EventLag  time.Duration
-	EventLoss float64
+	// EventLag delays cache events. EventLossRate is the fraction of them that
+	// is dropped.
+	EventLag      time.Duration
+	EventLossRate float64
 	// LoadLag delays load reports.
 	LoadLag time.Duration
 }
--- a/internal/standin/cache_test.go
+++ b/internal/standin/cache_test.go
@@ -52,7 +52,7 @@
 
 func readEvents(t *testing.T, e *Engine, after uint64) targethttp.CacheEvents {
 	t.Helper()
-	response, err := targethttp.NewCacheReader(nil).Events(context.Background(), e.URL(), after)
+	response, err := targethttp.NewCacheClient(nil).Events(context.Background(), e.URL(), after)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 // Guards the cache contract: complete leading blocks of the same scope are
 // reused, the capacity is limited, and events report every change.
 func TestCacheContract(t *testing.T) {
-	e := startCachingEngine(t, CacheOptions{Blocks: 5, BlockTokens: 1})
+	e := startCachingEngine(t, CacheOptions{CapacityBlocks: 5, BlockTokens: 1})
 	a, b := testChain(1, 4), testChain(2, 4)
 	start := readEvents(t, e, 0)
-	if !start.Snapshot || start.Through == 0 || start.Incarnation != e.incarnation {
+	if !start.Snapshot || start.LastSequence == 0 || start.Incarnation != e.incarnation {
 		t.Errorf("first events response: %+v", start)
 	}
 	for i, step := range []struct {
@@ -76,8 +76,8 @@
 			t.Errorf("step %d: reused %s tokens, want %s", i, got, step.want)
 		}
 	}
-	got := readEvents(t, e, start.Through)
-	wantSequence := start.Through + 1
+	got := readEvents(t, e, start.LastSequence)
+	wantSequence := start.LastSequence + 1
 	kinds := map[prefix.EventKind]int{}
 	for _, event := range got.Events {
 		if event.Sequence != wantSequence || len(event.Blocks) == 0 {
@@ -86,8 +86,8 @@
 		wantSequence++
 		kinds[event.Kind] += len(event.Blocks)
 	}
-	if got.Through != wantSequence-1 || kinds[prefix.Stored]-kinds[prefix.Evicted] != 5 {
-		t.Errorf("events up to sequence number %d: blocks by kind %v", got.Through, kinds)
+	if got.LastSequence != wantSequence-1 || kinds[prefix.Stored]-kinds[prefix.Evicted] != 5 {
+		t.Errorf("events up to sequence number %d: blocks by kind %v", got.LastSequence, kinds)
 	}
 	if again := readEvents(t, e, 1<<40); !again.Snapshot {
 		t.Error("no snapshot for an unknown sequence number")
@@ -96,12 +96,12 @@
 
 // Guards event loss: a dropped event must leave a gap in the sequence numbers.
 func TestLostEventsLeaveGap(t *testing.T) {
-	e := startCachingEngine(t, CacheOptions{Blocks: 100, BlockTokens: 1, EventLoss: 1})
+	e := startCachingEngine(t, CacheOptions{CapacityBlocks: 100, BlockTokens: 1, EventLossRate: 1})
 	before := readEvents(t, e, 0)
 	sendCompletion(t, e, "s", "", testChain(1, 2))
 	e.kv.events.loss = 0
 	sendCompletion(t, e, "s", "", testChain(2, 2))
-	if got := readEvents(t, e, before.Through); len(got.Events) != 1 || got.Events[0].Sequence != before.Through+2 {
+	if got := readEvents(t, e, before.LastSequence); len(got.Events) != 1 || got.Events[0].Sequence != before.LastSequence+2 {
 		t.Errorf("events after a dropped event: %+v", got)
 	}
 }
@@ -109,7 +109,7 @@
 // Guards KV transfer: an engine imports the leading blocks from a KV store that
 // imported them from another engine.
 func TestImportFromStore(t *testing.T) {
-	cache := CacheOptions{Blocks: 100, BlockTokens: 1}
+	cache := CacheOptions{CapacityBlocks: 100, BlockTokens: 1}
 	first, second := startCachingEngine(t, cache), startCachingEngine(t, cache)
 	cache.KVStore = true
 	store := startCachingEngine(t, cache)
