--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -26,9 +26,9 @@
 type EngineOptions struct {
 	// ID, Zone, Region, Model and Version are sent in announcements.
 	ID, Zone, Region, Model, Version string
-	// Announce lists the base URLs of the target listeners of VMs. Each
+	// AnnounceURLs lists the base URLs of the target listeners of VMs. Each
 	// announcement goes to the first one that accepts it.
-	Announce []string
+	AnnounceURLs []string
 	// TokenInterval is the time between tokens.
 	TokenInterval time.Duration
 	// BatchSlots limits the number of concurrent requests; zero means no limit.
@@ -39,8 +39,8 @@
 	HTTP2 bool
 	// Cache configures the prefix cache.
 	Cache CacheOptions
-	// Orders configures how the engine handles orders to load weights.
-	Orders OrderOptions
+	// OrderHandling configures how the engine handles orders to load weights.
+	OrderHandling OrderOptions
 }
 
 // Engine is a simulated model engine. Its responses depend on the request only,
@@ -75,7 +75,7 @@
 		listener:    listener,
 		cancel:      cancel,
 		blackhole:   NewBlackholeListener(listener),
-		orders:      newOrderState(options.Orders),
+		orders:      newOrderState(options.OrderHandling),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
@@ -93,9 +93,9 @@
 // URL returns the base URL at which the engine serves.
 func (e *Engine) URL() string { return "http://" + e.listener.Addr().String() }
 
-// Leave sets the leaving flag in announcements: the engine accepts no new
-// requests.
-func (e *Engine) Leave() { e.leaving.Store(true) }
+// AnnounceLeaving sets the leaving flag in announcements: the engine accepts no
+// new requests.
+func (e *Engine) AnnounceLeaving() { e.leaving.Store(true) }
 
 // Close stops the engine immediately and closes its open streams.
 func (e *Engine) Close() {
@@ -110,7 +110,7 @@
 	defer ticker.Stop()
 	client := &http.Client{Timeout: target.HeartbeatInterval}
 	for {
-		for _, base := range e.options.Announce {
+		for _, base := range e.options.AnnounceURLs {
 			if sendAnnouncement(ctx, client, base, e.announcement()) == nil {
 				break
 			}
@@ -137,8 +137,8 @@
 		Version:      o.Version,
 		Role:         "mixed",
 		BatchSlots:   o.BatchSlots,
-		CacheBlocks:  o.Cache.Blocks,
-		Capabilities: target.Capabilities{Resume: true, Priority: true, KV: o.Cache.Blocks > 0, HTTP2: o.HTTP2},
+		CacheBlocks:  o.Cache.CapacityBlocks,
+		Capabilities: target.Capabilities{Resume: true, Priority: true, KV: o.Cache.CapacityBlocks > 0, HTTP2: o.HTTP2},
 		Load:         e.kv.load.report(),
 		Leaving:      e.leaving.Load(),
 	}
@@ -230,9 +230,9 @@
 	return h.Sum64()
 }
 
-// Answer returns the complete text that every engine generates for the messages
-// of a chat request.
-func Answer(messages []byte, tokens int) string {
+// ExpectedAnswer returns the complete text that every engine generates for the
+// messages of a chat request.
+func ExpectedAnswer(messages []byte, tokens int) string {
 	seed := promptSeed(engineRequest{Messages: messages})
 	var text strings.Builder
 	for i := range tokens {
--- a/internal/standin/events.go
+++ b/internal/standin/events.go
@@ -43,7 +43,7 @@
 }
 
 func newEventLog(o CacheOptions) *eventLog {
-	return &eventLog{lag: o.EventLag, loss: o.EventLoss, nextSequence: 2, oldestSequence: 2}
+	return &eventLog{lag: o.EventLag, loss: o.EventLossRate, nextSequence: 2, oldestSequence: 2}
 }
 
 func (l *eventLog) lastSequence() uint64 {
@@ -93,8 +93,8 @@
 		http.Error(w, "query parameter after must be an unsigned integer", http.StatusBadRequest)
 		return
 	}
-	response := targethttp.CacheEvents{Incarnation: k.incarnation, Through: after}
-	deadline := time.Now().Add(targethttp.CacheWait)
+	response := targethttp.CacheEvents{Incarnation: k.incarnation, LastSequence: after}
+	deadline := time.Now().Add(targethttp.MaxEventsWait)
 	for after > 0 {
 		events, kept := k.events.since(after)
 		if !kept {
@@ -102,7 +102,7 @@
 			break
 		}
 		if len(events) > 0 {
-			response.Events, response.Through = events, events[len(events)-1].Sequence
+			response.Events, response.LastSequence = events, events[len(events)-1].Sequence
 			break
 		}
 		if time.Now().After(deadline) || !pause.For(r.Context(), eventPollInterval) {
@@ -111,7 +111,7 @@
 	}
 	if after == 0 {
 		response.Snapshot = true
-		response.Events, response.Through = k.cache.snapshot()
+		response.Events, response.LastSequence = k.cache.snapshot()
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(response)
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,31 +10,33 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/targethttp"
 )
 
-// Faults configures fault injection in a simulated engine. The zero value
+// EngineFaults configures fault injection in a simulated engine. The zero value
 // injects none.
-type Faults struct {
+type EngineFaults struct {
 	// Status fails requests with this HTTP status; zero is off.
 	Status int
-	// StallAfter stalls the stream after this many tokens, with the connection
-	// open; zero is off.
-	StallAfter int
-	// CutAfter closes the connection after this many tokens; zero is off.
-	CutAfter int
-	// Cross inserts this many events of another request, and as many of another
-	// incarnation, before each token.
-	Cross int
-	// Repeat resumes a stream this many tokens too early, so that tokens are
-	// repeated.
-	Repeat int
-	// Skip resumes a stream this many tokens too late, so that tokens are missing.
-	Skip int
-	// Requests limits the faults to this many requests; zero means all.
-	Requests int
+	// StallAfterTokens stalls the stream after this many tokens, with the
+	// connection open; zero is off.
+	StallAfterTokens int
+	// CloseAfterTokens closes the connection after this many tokens; zero is
+	// off.
+	CloseAfterTokens int
+	// ForeignEvents inserts this many events of another request, and as many of
+	// another incarnation, before each token.
+	ForeignEvents int
+	// RepeatTokens resumes a stream this many tokens too early, so that tokens
+	// are repeated.
+	RepeatTokens int
+	// SkipTokens resumes a stream this many tokens too late, so that tokens are
+	// missing.
+	SkipTokens int
+	// MaxRequests limits the faults to this many requests; zero means all.
+	MaxRequests int
 }
 
 type faultInjector struct {
 	mu               sync.Mutex
-	configured       Faults
+	configured       EngineFaults
 	requestsSinceSet int
 	cancels          map[string]context.CancelFunc
 	started          int
@@ -43,16 +45,16 @@
 
 // SetFaults replaces the injected faults. Running streams use the new faults
 // from their next token on.
-func (e *Engine) SetFaults(f Faults) {
+func (e *Engine) SetFaults(f EngineFaults) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.configured = f
 	e.faults.requestsSinceSet = 0
 }
 
-// Silence blackholes the open connections, as a middlebox does that lost their
-// state, and returns their number.
-func (e *Engine) Silence() int { return e.blackhole.Blackhole() }
+// BlackholeConnections blackholes the open connections, as a middlebox does
+// that lost their state, and returns their number.
+func (e *Engine) BlackholeConnections() int { return e.blackhole.Blackhole() }
 
 // Restart simulates a crash: it closes the engine and starts a new one with an
 // empty cache, the same address and a higher incarnation.
@@ -61,15 +63,15 @@
 	return StartEngine(e.listener.Addr().String(), e.options)
 }
 
-// Started returns the number of requests that reached the engine.
-func (e *Engine) Started() int { return e.faults.readCounter(&e.faults.started) }
+// RequestCount returns the number of requests that reached the engine.
+func (e *Engine) RequestCount() int { return e.faults.readCounter(&e.faults.started) }
 
-// Cancelled returns the number of requests that were cancelled, or whose caller
-// disconnected, before the response was complete.
-func (e *Engine) Cancelled() int { return e.faults.readCounter(&e.faults.cancelled) }
+// CancelledCount returns the number of requests that were cancelled, or whose
+// caller disconnected, before the response was complete.
+func (e *Engine) CancelledCount() int { return e.faults.readCounter(&e.faults.cancelled) }
 
-// Running returns the number of requests in flight.
-func (e *Engine) Running() int { return int(e.running.Load()) }
+// InFlight returns the number of requests in flight.
+func (e *Engine) InFlight() int { return int(e.running.Load()) }
 
 func (f *faultInjector) readCounter(n *int) int {
 	f.mu.Lock()
@@ -78,11 +80,11 @@
 }
 
 // active returns the faults to inject at this moment.
-func (f *faultInjector) active() Faults {
+func (f *faultInjector) active() EngineFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.configured.Requests > 0 && f.requestsSinceSet > f.configured.Requests {
-		return Faults{}
+	if f.configured.MaxRequests > 0 && f.requestsSinceSet > f.configured.MaxRequests {
+		return EngineFaults{}
 	}
 	return f.configured
 }
@@ -131,28 +133,28 @@
 	return true
 }
 
-// shiftResume applies the Repeat and Skip faults to the offset of a resumed
-// stream.
+// shiftResume applies the RepeatTokens and SkipTokens faults to the offset of a
+// resumed stream.
 func (f *faultInjector) shiftResume(start int) int {
 	if start == 0 {
 		return 0
 	}
 	set := f.active()
-	return max(0, start-set.Repeat) + set.Skip
+	return max(0, start-set.RepeatTokens) + set.SkipTokens
 }
 
 // injectBeforeToken injects the faults due before a token. It reports false if
 // the stream must end.
 func (f *faultInjector) injectBeforeToken(ctx context.Context, out *eventWriter, sent int) bool {
 	set := f.active()
-	if set.StallAfter > 0 && sent >= set.StallAfter {
+	if set.StallAfterTokens > 0 && sent >= set.StallAfterTokens {
 		<-ctx.Done()
 		return false
 	}
-	if set.CutAfter > 0 && sent >= set.CutAfter {
+	if set.CloseAfterTokens > 0 && sent >= set.CloseAfterTokens {
 		panic(http.ErrAbortHandler)
 	}
-	for range set.Cross {
+	for range set.ForeignEvents {
 		other := *out
 		other.requestID = "another-request"
 		_ = other.token(sent, "wrong ")
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -34,7 +34,7 @@
 		batchSlots:  newSemaphore(o.BatchSlots),
 		prefillSlot: newSemaphore(1),
 	}
-	k.cache = newCache(o.Cache.Blocks, k.events)
+	k.cache = newCache(o.Cache.CapacityBlocks, k.events)
 	return k
 }
 
@@ -42,7 +42,7 @@
 	mux.HandleFunc("GET "+targethttp.LoadPath, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(k.load.report())
 	})
-	if k.options.Blocks > 0 {
+	if k.options.CapacityBlocks > 0 {
 		mux.HandleFunc("GET "+targethttp.CacheEventsPath, k.serveEvents)
 		mux.HandleFunc("POST "+targethttp.KVExportPath, k.serveExport)
 		mux.HandleFunc("POST "+targethttp.KVImportPath, k.serveImport)
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -59,10 +59,10 @@
 func (s *orderState) accept(o targethttp.Order) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.options.Fencing && o.Fence < s.highestToken {
+	if s.options.Fencing && o.FencingToken < s.highestToken {
 		return false
 	}
-	s.highestToken = max(s.highestToken, o.Fence)
+	s.highestToken = max(s.highestToken, o.FencingToken)
 	if s.accepted[o.OrderID] {
 		return true
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// Loads returns how many weight loads orders have started.
-func (e *Engine) Loads() int {
+// LoadCount returns how many weight loads orders have started.
+func (e *Engine) LoadCount() int {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
 	return e.orders.loads
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -18,9 +18,9 @@
 type ServiceOptions struct {
 	// ID, Zone, Region and Service are sent in announcements.
 	ID, Zone, Region, Service string
-	// Announce lists the base URLs of the target listeners of VMs. The
+	// AnnounceURLs lists the base URLs of the target listeners of VMs. The
 	// service announces itself to each of them.
-	Announce []string
+	AnnounceURLs []string
 	// HTTP2 announces support for HTTP/2.
 	HTTP2 bool
 }
@@ -32,13 +32,14 @@
 	Status int
 	// Delay is the time between execution and response.
 	Delay time.Duration
-	// DropAnswer executes the call, then closes the connection without a response.
-	DropAnswer bool
-	// CutAfter closes the connection after this many bytes of the response body;
-	// zero is off.
-	CutAfter int
-	// Requests limits the faults to this many calls; zero means all.
-	Requests int
+	// DropResponse executes the call, then closes the connection without a
+	// response.
+	DropResponse bool
+	// CloseAfterBytes closes the connection after this many bytes of the
+	// response body; zero is off.
+	CloseAfterBytes int
+	// MaxRequests limits the faults to this many calls; zero means all.
+	MaxRequests int
 }
 
 // Service is a simulated plain service. It echoes the request body and counts
@@ -98,8 +99,8 @@
 	s.requestsSinceSet = 0
 }
 
-// Silence blackholes the open connections and returns their number.
-func (s *Service) Silence() int { return s.blackhole.Blackhole() }
+// BlackholeConnections blackholes the open connections and returns their number.
+func (s *Service) BlackholeConnections() int { return s.blackhole.Blackhole() }
 
 // Executions returns the number of executed calls with the given
 // Idempotency-Key.
@@ -109,24 +110,24 @@
 	return s.executionsByKey[key]
 }
 
-// Total returns the number of executed calls.
-func (s *Service) Total() int {
+// ExecutionCount returns the number of executed calls.
+func (s *Service) ExecutionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions
 }
 
-// Gone returns the number of calls whose caller disconnected before the
-// response.
-func (s *Service) Gone() int {
+// DisconnectedCount returns the number of calls whose caller disconnected
+// before the response.
+func (s *Service) DisconnectedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.disconnected
 }
 
-// Seen returns the received requests in order: request line, headers, trailers
-// and the recorded body.
-func (s *Service) Seen() []string {
+// RecordedRequests returns the received requests in order: request line,
+// headers, trailers and the recorded body.
+func (s *Service) RecordedRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.requests...)
@@ -135,7 +136,7 @@
 func (s *Service) announceLoop(ctx context.Context) {
 	client := &http.Client{Timeout: target.HeartbeatInterval}
 	for {
-		for _, base := range s.options.Announce {
+		for _, base := range s.options.AnnounceURLs {
 			_ = sendAnnouncement(ctx, client, base, s.announcement())
 		}
 		if !pause.For(ctx, target.HeartbeatInterval) {
@@ -176,7 +177,7 @@
 		s.mu.Unlock()
 		return
 	}
-	if faults.DropAnswer {
+	if faults.DropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", r.Header.Get("Content-Type"))
@@ -189,11 +190,11 @@
 }
 
 func (s *Service) writeResponse(w http.ResponseWriter, body []byte, faults ServiceFaults) {
-	if faults.CutAfter == 0 || faults.CutAfter >= len(body) {
+	if faults.CloseAfterBytes == 0 || faults.CloseAfterBytes >= len(body) {
 		_, _ = w.Write(body)
 		return
 	}
-	_, _ = w.Write(body[:faults.CutAfter])
+	_, _ = w.Write(body[:faults.CloseAfterBytes])
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
@@ -206,7 +207,7 @@
 	s.executions++
 	s.requests = append(s.requests, fmt.Sprintf("%s %s %v %v %s", r.Method, r.RequestURI, r.Header, r.Trailer, body))
 	s.requestsSinceSet++
-	if s.faults.Requests > 0 && s.requestsSinceSet > s.faults.Requests {
+	if s.faults.MaxRequests > 0 && s.requestsSinceSet > s.faults.MaxRequests {
 		return ServiceFaults{}
 	}
 	return s.faults
--- a/internal/target/drain.go
+++ b/internal/target/drain.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// TakeOwnDrains returns the decisions made on this VM since the last call.
-func (r *Registry) TakeOwnDrains() []Drain {
+// TakeLocalDrains returns the decisions made on this VM since the last call.
+func (r *Registry) TakeLocalDrains() []Drain {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	taken := r.localDrains
--- a/internal/target/registry.go
+++ b/internal/target/registry.go
@@ -19,8 +19,8 @@
 	KindKVStore Kind = "kv-store"
 )
 
-// LiveFor is how long a target counts as live after its last heartbeat.
-const LiveFor = 3 * time.Second
+// HeartbeatTimeout is how long a target counts as live after its last heartbeat.
+const HeartbeatTimeout = 3 * time.Second
 
 // HeartbeatInterval is how often a target announces itself.
 const HeartbeatInterval = time.Second
@@ -103,9 +103,9 @@
 // Target is the state of one target as known to a VM.
 type Target struct {
 	Announcement
-	// LastHeard is when the latest known heartbeat was received from the
+	// LastHeartbeat is when the latest known heartbeat was received from the
 	// target, by this VM or another.
-	LastHeard time.Time
+	LastHeartbeat time.Time
 	// Draining is true if an operator took the target out of service.
 	Draining bool
 
@@ -122,7 +122,7 @@
 	if t.Leaving || t.Draining || t.Loading {
 		return false
 	}
-	return now.Sub(t.LastHeard) < LiveFor
+	return now.Sub(t.LastHeartbeat) < HeartbeatTimeout
 }
 
 // Change is the effect of an announcement on the registry.
@@ -140,8 +140,8 @@
 	Replaced
 	// Left means that the target started to leave.
 	Left
-	// Redescribed means that more than the sequence and the load changed.
-	Redescribed
+	// DescriptionChanged means that more than the sequence and the load changed.
+	DescriptionChanged
 )
 
 // String returns the name of the change for log entries.
@@ -168,7 +168,7 @@
 	// idByKey maps the Key of an incarnation to its target ID.
 	idByKey map[uint64]string
 	drains  map[string]Drain
-	// localDrains are the decisions made on this VM that TakeOwnDrains has not
+	// localDrains are the decisions made on this VM that TakeLocalDrains has not
 	// returned yet.
 	localDrains []Drain
 }
@@ -182,10 +182,10 @@
 	}
 }
 
-// Announce merges one heartbeat. A higher incarnation replaces a lower one.
-// Within an incarnation the higher sequence wins, and Leaving is never reset.
-// receivedAt is when a VM received the heartbeat from the target itself.
-func (r *Registry) Announce(a Announcement, receivedAt time.Time) Change {
+// MergeAnnouncement merges one heartbeat. A higher incarnation replaces a lower
+// one. Within an incarnation the higher sequence wins, and Leaving is never
+// reset. receivedAt is when a VM received the heartbeat from the target itself.
+func (r *Registry) MergeAnnouncement(a Announcement, receivedAt time.Time) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old, known := r.targets[a.ID]
@@ -206,12 +206,12 @@
 	}
 	startsLeaving := a.Leaving && !old.Leaving
 	a.Leaving = a.Leaving || old.Leaving
-	r.store(a, laterOf(receivedAt, old.LastHeard))
+	r.store(a, laterOf(receivedAt, old.LastHeartbeat))
 	if startsLeaving {
 		return Left
 	}
 	if r.targets[a.ID].descriptionHash != old.descriptionHash {
-		return Redescribed
+		return DescriptionChanged
 	}
 	return Refreshed
 }
@@ -223,7 +223,7 @@
 	defer r.mu.Unlock()
 	var expired []Ref
 	for id, t := range r.targets {
-		if now.Sub(t.LastHeard) >= age {
+		if now.Sub(t.LastHeartbeat) >= age {
 			expired = append(expired, t.Ref())
 			delete(r.targets, id)
 			delete(r.idByKey, t.Ref().Key())
@@ -280,7 +280,7 @@
 func (r *Registry) store(a Announcement, receivedAt time.Time) {
 	t := &Target{
 		Announcement:    a,
-		LastHeard:       receivedAt,
+		LastHeartbeat:   receivedAt,
 		Draining:        r.drains[a.ID].Drained,
 		descriptionHash: hashDescription(&a),
 	}
--- a/internal/target/registry_test.go
+++ b/internal/target/registry_test.go
@@ -12,7 +12,7 @@
 	now := time.Unix(1000, 0)
 	r := NewRegistry()
 	announce := func(incarnation, sequence uint64, leaving bool) Change {
-		return r.Announce(Announcement{ID: "e", Kind: KindEngine, Model: "m", Version: "v", Incarnation: incarnation, Sequence: sequence, Leaving: leaving}, now)
+		return r.MergeAnnouncement(Announcement{ID: "e", Kind: KindEngine, Model: "m", Version: "v", Incarnation: incarnation, Sequence: sequence, Leaving: leaving}, now)
 	}
 	for i, c := range []struct {
 		incarnation, sequence uint64
@@ -39,7 +39,7 @@
 	if len(r.Engines("m", "other", now)) != 0 {
 		t.Error("an engine is usable for a weights version that it has not loaded")
 	}
-	if len(r.Engines("m", "v", now.Add(LiveFor))) != 0 {
-		t.Error("a target without a heartbeat for LiveFor is usable")
+	if len(r.Engines("m", "v", now.Add(HeartbeatTimeout))) != 0 {
+		t.Error("a target without a heartbeat for HeartbeatTimeout is usable")
 	}
 }
--- a/internal/target/spread.go
+++ b/internal/target/spread.go
@@ -9,8 +9,8 @@
 
 // maxSummarizedAge is the greatest age of a heartbeat that a zone summary
 // reports as live. It is the heartbeat interval plus the time for one
-// retransmission within a zone. With summaries every 0.5 s, 0.8 s of LiveFor
-// remain for propagation.
+// retransmission within a zone. With summaries every 0.5 s, 0.8 s of
+// HeartbeatTimeout remain for propagation.
 const maxSummarizedAge = 1700 * time.Millisecond
 
 // Key returns a hash that identifies the incarnation in messages between VMs.
@@ -21,8 +21,9 @@
 	return h.Sum64()
 }
 
-// Beat is a heartbeat that changes only the sequence and the load of a target.
-type Beat struct {
+// Heartbeat is a heartbeat that changes only the sequence and the load of a
+// target.
+type Heartbeat struct {
 	// Key identifies the incarnation.
 	Key uint64
 	// Sequence is the sequence of the heartbeat.
@@ -31,10 +32,10 @@
 	Load Load
 }
 
-// Beat merges a heartbeat that was relayed by another VM. It reports whether
-// the heartbeat was newer than the known state. receivedAt is when a VM
+// MergeHeartbeat merges a heartbeat that was relayed by another VM. It reports
+// whether the heartbeat was newer than the known state. receivedAt is when a VM
 // received it from the target itself.
-func (r *Registry) Beat(b Beat, receivedAt time.Time) bool {
+func (r *Registry) MergeHeartbeat(b Heartbeat, receivedAt time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old, ok := r.targets[r.idByKey[b.Key]]
@@ -44,7 +45,7 @@
 	updated := *old
 	updated.Sequence = b.Sequence
 	updated.Load = b.Load
-	updated.LastHeard = laterOf(receivedAt, old.LastHeard)
+	updated.LastHeartbeat = laterOf(receivedAt, old.LastHeartbeat)
 	r.targets[old.ID] = &updated
 	return true
 }
@@ -60,18 +61,18 @@
 	Age time.Duration
 }
 
-// Zone returns the known targets of a zone, sorted by ID. The caller must not
-// modify them.
-func (r *Registry) Zone(zone string) []*Target {
+// TargetsInZone returns the known targets of a zone, sorted by ID. The caller
+// must not modify them.
+func (r *Registry) TargetsInZone(zone string) []*Target {
 	return r.filter(func(t *Target) bool { return t.Announcement.Zone == zone })
 }
 
 // Summarize returns the summary of a zone at now.
 func (r *Registry) Summarize(zone string, now time.Time) Summary {
-	targets := r.Zone(zone)
+	targets := r.TargetsInZone(zone)
 	s := Summary{Hash: hashTargets(targets), Live: make([]byte, (len(targets)+7)/8)}
 	for i, t := range targets {
-		age := now.Sub(t.LastHeard)
+		age := now.Sub(t.LastHeartbeat)
 		if age > maxSummarizedAge {
 			continue
 		}
@@ -85,7 +86,7 @@
 // summary covers another set of targets than this VM knows, it changes nothing
 // and returns false.
 func (r *Registry) ApplySummary(zone string, s Summary, now time.Time) bool {
-	targets := r.Zone(zone)
+	targets := r.TargetsInZone(zone)
 	if hashTargets(targets) != s.Hash || len(s.Live) != (len(targets)+7)/8 {
 		return false
 	}
@@ -93,11 +94,11 @@
 	defer r.mu.Unlock()
 	receivedAt := now.Add(-s.Age)
 	for i, t := range targets {
-		if s.Live[i/8]&(1<<(i%8)) == 0 || r.targets[t.ID] != t || !receivedAt.After(t.LastHeard) {
+		if s.Live[i/8]&(1<<(i%8)) == 0 || r.targets[t.ID] != t || !receivedAt.After(t.LastHeartbeat) {
 			continue
 		}
 		updated := *t
-		updated.LastHeard = receivedAt
+		updated.LastHeartbeat = receivedAt
 		r.targets[t.ID] = &updated
 	}
 	return true
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -49,8 +49,8 @@
 	s.wasted += o.wasted
 }
 
-// Ledger counts the usage on one VM. It implements serving.Ledger and is safe
-// for concurrent use.
+// Ledger counts the usage on one VM. It implements serving.UsageRecorder and is
+// safe for concurrent use.
 type Ledger struct {
 	vm          string
 	incarnation uint64
@@ -80,7 +80,7 @@
 	}
 }
 
-// Record implements serving.Ledger.
+// Record implements serving.UsageRecorder.
 func (l *Ledger) Record(u serving.UsageRecord) {
 	s := counts{1, nonNegative(u.PromptTokens), nonNegative(u.CompletionTokens), nonNegative(u.WastedTokens)}
 	if s.prompt+s.completion+s.wasted == 0 {
--- a/internal/usage/part.go
+++ b/internal/usage/part.go
@@ -10,7 +10,7 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// These are the answers of Part to a command.
+// These are the responses of StateMachine to a command.
 const (
 	answerCounted   = "counted"
 	answerMalformed = "malformed"
@@ -38,20 +38,21 @@
 	lastBatchMs  int64
 }
 
-// Part is the replicated state of usage totals. It implements control.Part.
-type Part struct {
+// StateMachine is the replicated state of usage totals. It implements
+// control.StateMachine.
+type StateMachine struct {
 	totals         map[totalKey]*counts
 	senders        map[senderKey]sender
 	lastCompaction int64
 }
 
-// NewPart returns an empty state.
-func NewPart() *Part {
-	return &Part{totals: make(map[totalKey]*counts), senders: make(map[senderKey]sender)}
+// NewStateMachine returns an empty state.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{totals: make(map[totalKey]*counts), senders: make(map[senderKey]sender)}
 }
 
-// Apply implements control.Part.
-func (p *Part) Apply(_ uint64, now time.Time, body []byte) []byte {
+// Apply implements control.StateMachine.
+func (p *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
 	var c usagev1.Command
 	if err := proto.Unmarshal(body, &c); err != nil {
 		return []byte(answerMalformed)
@@ -70,7 +71,7 @@
 // applyBatch adds a batch unless this or a later batch of the same incarnation
 // has been counted. A VM sends a batch only after the previous one is
 // acknowledged, so no batch is skipped.
-func (p *Part) applyBatch(now time.Time, b *usagev1.Batch) {
+func (p *StateMachine) applyBatch(now time.Time, b *usagev1.Batch) {
 	from := senderKey{b.GetVm(), b.GetIncarnation()}
 	if b.GetSequence() <= p.senders[from].lastSequence {
 		return
@@ -81,7 +82,7 @@
 	}
 }
 
-func (p *Part) add(k totalKey, s counts) {
+func (p *StateMachine) add(k totalKey, s counts) {
 	held, ok := p.totals[k]
 	if !ok {
 		held = new(counts)
@@ -92,7 +93,7 @@
 
 // compact merges old hourly totals into daily ones, and drops old daily totals
 // and senders. It runs at most once per hour.
-func (p *Part) compact(now time.Time) {
+func (p *StateMachine) compact(now time.Time) {
 	hour := now.Unix() / secondsPerHour
 	if hour <= p.lastCompaction {
 		return
@@ -114,7 +115,7 @@
 	}
 }
 
-func (p *Part) query(q *usagev1.Query) []byte {
+func (p *StateMachine) query(q *usagev1.Query) []byte {
 	out := &usagev1.Totals{}
 	for _, k := range sortedKeys(p.totals) {
 		late := q.GetToHour() != 0 && k.hour >= q.GetToHour()
@@ -132,8 +133,8 @@
 	return data
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
+// Snapshot implements control.StateMachine.
+func (p *StateMachine) Snapshot() ([]byte, error) {
 	s := &usagev1.Snapshot{MergedHour: p.lastCompaction}
 	for _, k := range sortedKeys(p.totals) {
 		s.Totals = append(s.Totals, toTotal(k, *p.totals[k]))
@@ -153,13 +154,13 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s)
 }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine.
+func (p *StateMachine) Restore(data []byte) error {
 	var s usagev1.Snapshot
 	if err := proto.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("decode usage snapshot: %w", err)
 	}
-	restored := NewPart()
+	restored := NewStateMachine()
 	restored.lastCompaction = s.GetMergedHour()
 	for _, t := range s.GetTotals() {
 		restored.add(fromTotal(t))
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -14,13 +14,13 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// stubLog applies commands to one part. fault decides whether the next command
-// or its answer is lost.
+// stubLog applies commands to one state machine. fault decides whether the next
+// command or its answer is lost.
 type stubLog struct {
 	control.Log
-	part  *Part
-	now   time.Time
-	fault func() (lost, unanswered bool)
+	stateMachine *StateMachine
+	now          time.Time
+	fault        func() (lost, unanswered bool)
 	// committed holds the bodies of committed commands, some of which are
 	// applied once more, as after a resend that overtook its predecessor.
 	committed [][]byte
@@ -32,7 +32,7 @@
 		return nil, control.ErrNotCommitted
 	}
 	l.committed = append(l.committed, body)
-	answer := l.part.Apply(1, l.now, body)
+	answer := l.stateMachine.Apply(1, l.now, body)
 	if unanswered {
 		return nil, control.ErrUncertain
 	}
@@ -41,7 +41,7 @@
 
 func (l *stubLog) total() counts {
 	var all counts
-	for _, s := range l.part.totals {
+	for _, s := range l.stateMachine.totals {
 		all.add(*s)
 	}
 	return all
@@ -52,7 +52,7 @@
 // snapshot.
 func TestUsageCountsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		log := &stubLog{part: NewPart(), now: time.Unix(1_700_000_000, 0)}
+		log := &stubLog{stateMachine: NewStateMachine(), now: time.Unix(1_700_000_000, 0)}
 		clock := func() time.Time { return log.now }
 		ledgers := []*Ledger{NewLedger("vm-1", 1, clock), NewLedger("vm-2", 1, clock)}
 		log.fault = func() (bool, bool) {
@@ -70,7 +70,7 @@
 				_ = l.Flush(context.Background(), log)
 			case 3:
 				if n := len(log.committed); n > 0 {
-					log.part.Apply(1, log.now, log.committed[rapid.IntRange(0, n-1).Draw(rt, "repeat")])
+					log.stateMachine.Apply(1, log.now, log.committed[rapid.IntRange(0, n-1).Draw(rt, "repeat")])
 				}
 			case 4:
 				restoreFromSnapshot(rt, log)
@@ -90,12 +90,12 @@
 }
 
 func restoreFromSnapshot(rt *rapid.T, log *stubLog) {
-	data, err := log.part.Snapshot()
+	data, err := log.stateMachine.Snapshot()
 	if err != nil {
 		rt.Fatal(err)
 	}
-	log.part = NewPart()
-	if err := log.part.Restore(data); err != nil {
+	log.stateMachine = NewStateMachine()
+	if err := log.stateMachine.Restore(data); err != nil {
 		rt.Fatal(err)
 	}
 }
@@ -103,7 +103,7 @@
 // Guards against unlimited memory use, and against lost usage, while the
 // control log is unreachable for many hours.
 func TestPendingUsageIsBoundedWithoutLog(t *testing.T) {
-	log := &stubLog{part: NewPart(), now: time.Unix(1_700_000_000, 0)}
+	log := &stubLog{stateMachine: NewStateMachine(), now: time.Unix(1_700_000_000, 0)}
 	l := NewLedger("vm-1", 1, func() time.Time { return log.now })
 	var want counts
 	for hour := range 100 {
@@ -128,7 +128,7 @@
 // Guards against totals that change when old hours are merged into days, and
 // against a state that grows without limit.
 func TestOldHoursBecomeDays(t *testing.T) {
-	p := NewPart()
+	p := NewStateMachine()
 	start := time.Unix(1_700_000_000, 0)
 	for hour := range 200 {
 		now := start.Add(time.Duration(hour) * time.Hour)
@@ -155,7 +155,7 @@
 
 // BenchmarkApplyBatch measures one batch of 1,000 totals.
 func BenchmarkApplyBatch(b *testing.B) {
-	p := NewPart()
+	p := NewStateMachine()
 	batch := &usagev1.Batch{Vm: "vm-1", Incarnation: 1}
 	for w := range maxBatchTotals {
 		batch.Totals = append(batch.Totals, toTotal(totalKey{fmt.Sprint("workspace-", w), "gutachter", 472222, 1}, counts{5, 20000, 900, 3}))
