--- a/internal/adapter/replica/forwarder.go
+++ b/internal/adapter/replica/forwarder.go
@@ -18,7 +18,7 @@
 // Propose implements raftv1.LogService. It always fails: operator tools use typed
 // calls instead.
 func (f ForwardingServer) Propose(context.Context, *raftv1.ProposeRequest) (*raftv1.ProposeResponse, error) {
-	return nil, twirp.NewError(twirp.Unimplemented, "only VMs can propose commands to the control log")
+	return nil, twirp.NewError(twirp.Unimplemented, "commands are proposed by VMs only")
 }
 
 // Barrier implements raftv1.LogService.
@@ -59,7 +59,7 @@
 	case request.GetChange() == raftv1.Change_CHANGE_TRANSFER:
 		return nil
 	case !known:
-		return twirp.InvalidArgumentError("change", "is not a known membership change")
+		return twirp.InvalidArgumentError("change", "is not known")
 	case request.GetVm() == "":
 		return twirp.RequiredArgumentError("vm")
 	case request.GetChange() == raftv1.Change_CHANGE_ADD_LEARNER && request.GetAddress() == "":
--- a/internal/gateway/document.go
+++ b/internal/gateway/document.go
@@ -155,7 +155,7 @@
 		}
 		match := r.Host + "\x00" + r.PathPrefix
 		if other, ok := routeByMatch[match]; ok {
-			return invalid("routes %q and %q have the same host and path prefix", other, r.Name)
+			return invalid("routes %q and %q share host and prefix", other, r.Name)
 		}
 		routeByMatch[match] = r.Name
 	}
@@ -167,12 +167,12 @@
 		return invalid("route %q has no timeout", r.Name)
 	}
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-		return invalid("route %q has path prefix %q, which must start and end with /", r.Name, r.PathPrefix)
+		return invalid("route %q has prefix %q", r.Name, r.PathPrefix)
 	}
 	total := 0.0
 	for _, share := range r.Split {
 		if !services[share.Service] {
-			return invalid("route %q refers to unknown service %q", r.Name, share.Service)
+			return invalid("route %q names the unknown service %q", r.Name, share.Service)
 		}
 		if share.Weight < 0 {
 			return invalid("route %q has a negative weight", r.Name)
