--- a/internal/adapter/callerhttp/auth.go
+++ b/internal/adapter/callerhttp/auth.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
@@ -14,7 +14,7 @@
 // workspace is empty.
 type identity struct {
 	workspace string
-	keyHash   keys.Hash
+	keyHash   apikeys.Hash
 }
 
 func (s *Server) authenticate(r *http.Request, snap *config.Snapshot) (identity, *serving.Refusal) {
@@ -22,7 +22,7 @@
 	if key == "" {
 		return identity{}, newRefusal(http.StatusUnauthorized, "missing_key", "an Authorization header with a bearer key is required")
 	}
-	hash := keys.HashKey(key)
+	hash := apikeys.HashKey(key)
 	owner, ok := snap.Owner(hash)
 	if !ok || !s.Keys.Usable(hash, snap.Document.Workspaces[owner.Workspace]) {
 		return identity{}, newRefusal(http.StatusUnauthorized, "invalid_key", "the key is not valid")
--- a/internal/adapter/callerhttp/scrub.go
+++ b/internal/adapter/callerhttp/scrub.go
@@ -12,8 +12,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
 // minKeyBytes is the minimum length of a word that is looked up as a key.
@@ -54,7 +54,7 @@
 			if len(word) < minKeyBytes {
 				continue
 			}
-			if _, known := s.snap.Owner(keys.HashKey(word)); known {
+			if _, known := s.snap.Owner(apikeys.HashKey(word)); known {
 				s.keys = append(s.keys, word)
 			}
 		}
@@ -178,7 +178,7 @@
 		}
 	}
 	for {
-		start := bytes.Index(data, []byte(keys.Prefix))
+		start := bytes.Index(data, []byte(apikeys.Prefix))
 		if start < 0 {
 			return false
 		}
@@ -186,7 +186,7 @@
 		if s.startsWithKey(data) {
 			return true
 		}
-		data = data[len(keys.Prefix):]
+		data = data[len(apikeys.Prefix):]
 	}
 }
 
@@ -195,12 +195,12 @@
 	if end := bytes.IndexFunc(word, isKeySeparator); end >= 0 {
 		word = word[:end]
 	}
-	if len(word) < keys.Length {
+	if len(word) < apikeys.Length {
 		return false
 	}
 	// The key may be followed by further key characters without a separator.
-	_, exact := s.snap.Owner(keys.HashKey(string(word[:keys.Length])))
-	_, whole := s.snap.Owner(keys.HashKey(string(word)))
+	_, exact := s.snap.Owner(apikeys.HashKey(string(word[:apikeys.Length])))
+	_, whole := s.snap.Owner(apikeys.HashKey(string(word)))
 	return exact || whole
 }
 
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"sync/atomic"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/serving"
 )
 
@@ -24,9 +24,9 @@
 // KeyValidator decides whether a key is currently valid.
 type KeyValidator interface {
 	// Usable reports whether workspace may currently use the key with hash h.
-	Usable(h keys.Hash, workspace config.Workspace) bool
+	Usable(h apikeys.Hash, workspace config.Workspace) bool
 	// Watch returns a context that is cancelled when the key is withdrawn.
-	Watch(ctx context.Context, h keys.Hash) (context.Context, context.CancelFunc)
+	Watch(ctx context.Context, h apikeys.Hash) (context.Context, context.CancelFunc)
 }
 
 // Server handles HTTP requests from callers.
--- a/internal/keys/buckets.go
+++ b/internal/apikeys/buckets.go
@@ -1,4 +1,4 @@
-package keys
+package apikeys
 
 import "encoding/binary"
 
--- a/internal/keys/keys.go
+++ b/internal/apikeys/keys.go
@@ -1,7 +1,7 @@
-// Package keys handles the API keys of callers. A key exists in plain text only
-// in the caller's request and in the output of "cuminwing keys new". Everything
-// else uses its SHA-256 hash.
-package keys
+// Package apikeys handles the API keys of callers. A key exists in plain text
+// only in the caller's request and in the output of "cuminwing keys new".
+// Everything else uses its SHA-256 hash.
+package apikeys
 
 import (
 	"crypto/rand"
--- a/internal/keys/withdrawn.go
+++ b/internal/apikeys/withdrawn.go
@@ -1,4 +1,4 @@
-package keys
+package apikeys
 
 import (
 	"context"
@@ -54,7 +54,8 @@
 	return ok
 }
 
-// Digest returns a digest of the set. Sets with equal content have equal digests.
+// Digest returns a digest of the set. Sets with equal content have equal
+// digests.
 func (w *WithdrawnSet) Digest() uint64 {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -72,8 +73,8 @@
 	return out
 }
 
-// Watch returns a context that is cancelled when the key is withdrawn. The caller
-// must call the returned function to release the watch.
+// Watch returns a context that is cancelled when the key is withdrawn. The
+// caller must call the returned function to release the watch.
 func (w *WithdrawnSet) Watch(ctx context.Context, h Hash) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	watch := &watcher{cancel: cancel}
--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -21,7 +21,7 @@
 // outerPackages lists the packages that do I/O or wire adapters together. All
 // other packages below internal are domain packages.
 var outerPackages = []string{
-	"internal/adapter", "internal/cli", "internal/cmd", "internal/daemon", "internal/edge", "internal/forward",
+	"internal/adapter", "internal/cli", "internal/cmd", "internal/daemon", "internal/edge", "internal/proxy",
 	"internal/loadgen", "internal/loopback",
 	"internal/scenario", "internal/settings", "internal/standin", "internal/arch",
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/daemon"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
@@ -39,7 +39,7 @@
 func runDemo(prompt string, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	key, err := keys.New()
+	key, err := apikeys.New()
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 func demoDocument(key string) config.Document {
 	return config.Document{
 		Models:     map[string]config.Model{demoModel: {ServingVersion: demoVersion}},
-		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "demo", SHA256: keys.HashKey(key).String()}}}},
+		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "demo", SHA256: apikeys.HashKey(key).String()}}}},
 		Rates:      map[string]config.Rate{"yards": {RateTokensPerSecond: 10000, BurstTokens: 50000}},
 		Routes:     map[string]config.Route{"grade": {Kind: config.KindModel, Model: demoModel}},
 		Zones: map[string]config.Zone{
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -6,8 +6,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
 func addKeys(r *registry) {
@@ -24,7 +24,7 @@
 	workspace := c.Flag("workspace", "Workspace to add the key to.").String()
 	id := c.Flag("id", "Name of the key in logs and tools; the start of its hash by default.").String()
 	r.add(c, func(out, errOut io.Writer) int {
-		key, err := keys.New()
+		key, err := apikeys.New()
 		if err != nil {
 			fmt.Fprintln(errOut, err)
 			return ExitFailed
@@ -34,7 +34,7 @@
 			return ExitOK
 		}
 		add := func(cl *client, out, errOut io.Writer) (int, error) {
-			return cl.addKey(*workspace, keyEntry(*id, keys.HashKey(key)), out, errOut)
+			return cl.addKey(*workspace, keyEntry(*id, apikeys.HashKey(key)), out, errOut)
 		}
 		// Standard output carries only the key, so the outcome of the edit
 		// goes to standard error.
@@ -46,7 +46,7 @@
 // ID of a key.
 const defaultKeyIDBytes = 4
 
-func keyEntry(id string, h keys.Hash) config.Key {
+func keyEntry(id string, h apikeys.Hash) config.Key {
 	if id == "" {
 		id = fmt.Sprintf("%x", h[:defaultKeyIDBytes])
 	}
@@ -55,10 +55,10 @@
 
 func printNewKey(key, output string, out io.Writer) {
 	if output == outputJSON {
-		_ = printJSON(out, map[string]string{"key": key, "sha256": keys.HashKey(key).String()})
+		_ = printJSON(out, map[string]string{"key": key, "sha256": apikeys.HashKey(key).String()})
 		return
 	}
-	fmt.Fprintf(out, "key:    %s\nsha256: %s\n", key, keys.HashKey(key))
+	fmt.Fprintf(out, "key:    %s\nsha256: %s\n", key, apikeys.HashKey(key))
 }
 
 // addKey adds a key to a workspace of the document in force.
--- a/internal/cli/keys_withdraw.go
+++ b/internal/cli/keys_withdraw.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/cockroachdb/errors"
 
-	"github.com/cuminwing/cuminwing/internal/control/keyset"
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
+	"github.com/cuminwing/cuminwing/internal/control/withdrawnkeys"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 )
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return ExitRefused, err
 	}
-	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.EncodeHashes(hashes), EditId: newEditID()}
+	request := &adminv1.WithdrawKeysRequest{Hashes: withdrawnkeys.EncodeHashes(hashes), EditId: newEditID()}
 	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.WithdrawKeysResponse, error) {
 		return s.WithdrawKeys(ctx, request)
 	})
@@ -61,10 +61,10 @@
 	return code, nil
 }
 
-func (c *client) selectedKeys(o withdrawOptions) ([]keys.Hash, error) {
-	var hashes []keys.Hash
+func (c *client) selectedKeys(o withdrawOptions) ([]apikeys.Hash, error) {
+	var hashes []apikeys.Hash
 	for _, text := range o.hashes {
-		h, err := keys.ParseHash(text)
+		h, err := apikeys.ParseHash(text)
 		if err != nil {
 			return nil, err
 		}
@@ -86,7 +86,7 @@
 	return hashes, nil
 }
 
-func (c *client) keysByID(workspace string, ids []string) ([]keys.Hash, error) {
+func (c *client) keysByID(workspace string, ids []string) ([]apikeys.Hash, error) {
 	if workspace == "" {
 		return nil, errors.New("--id needs --workspace")
 	}
@@ -106,15 +106,15 @@
 			return nil, fmt.Errorf("workspace %s has no key %s in the document in force", workspace, id)
 		}
 	}
-	return keyset.DecodeHashes(rawHashes)
+	return withdrawnkeys.DecodeHashes(rawHashes)
 }
 
-func readKeyHashes(in io.Reader) []keys.Hash {
-	var hashes []keys.Hash
+func readKeyHashes(in io.Reader) []apikeys.Hash {
+	var hashes []apikeys.Hash
 	scanner := bufio.NewScanner(in)
 	for scanner.Scan() {
 		if key := strings.TrimSpace(scanner.Text()); key != "" {
-			hashes = append(hashes, keys.HashKey(key))
+			hashes = append(hashes, apikeys.HashKey(key))
 		}
 	}
 	return hashes
--- a/internal/config/incremental.go
+++ b/internal/config/incremental.go
@@ -1,19 +1,19 @@
 package config
 
-import "github.com/cuminwing/cuminwing/internal/keys"
+import "github.com/cuminwing/cuminwing/internal/apikeys"
 
 // IncrementalValidator validates changes to a valid document. Unlike
 // Document.Validate, it skips the workspaces and rates that did not change:
 // with 1,900 workspaces it checks an edit of one of them many times faster.
 type IncrementalValidator struct {
 	// owners maps each key hash of the document to the workspace of the key.
-	owners map[keys.Hash]string
+	owners map[apikeys.Hash]string
 }
 
 // NewIncrementalValidator returns a validator for changes to d, which must be
 // valid.
 func NewIncrementalValidator(d Document) *IncrementalValidator {
-	c := &IncrementalValidator{owners: make(map[keys.Hash]string)}
+	c := &IncrementalValidator{owners: make(map[apikeys.Hash]string)}
 	for name, w := range d.Workspaces {
 		c.addKeys(name, w)
 	}
@@ -46,13 +46,13 @@
 	if len(names) == 0 {
 		return
 	}
-	removed := make(map[keys.Hash]bool)
+	removed := make(map[apikeys.Hash]bool)
 	for _, name := range names {
 		for _, h := range keyHashes(old.Workspaces[name]) {
 			removed[h] = true
 		}
 	}
-	owners := make(map[keys.Hash]string)
+	owners := make(map[apikeys.Hash]string)
 	for _, name := range names {
 		w, present := next.Workspaces[name]
 		if !present {
@@ -99,10 +99,10 @@
 	}
 }
 
-func keyHashes(w Workspace) []keys.Hash {
-	hashes := make([]keys.Hash, 0, len(w.Keys))
+func keyHashes(w Workspace) []apikeys.Hash {
+	hashes := make([]apikeys.Hash, 0, len(w.Keys))
 	for _, k := range w.Keys {
-		if h, err := keys.ParseHash(k.SHA256); err == nil {
+		if h, err := apikeys.ParseHash(k.SHA256); err == nil {
 			hashes = append(hashes, h)
 		}
 	}
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -4,7 +4,7 @@
 	"sort"
 	"strings"
 
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 )
 
 // Snapshot is one immutable state of the document, indexed for request
@@ -16,7 +16,7 @@
 	// modified.
 	Document Document
 
-	ownerByKey   map[keys.Hash]KeyOwner
+	ownerByKey   map[apikeys.Hash]KeyOwner
 	routeByModel map[string]string
 	servicePaths []servicePath
 	slots        int
@@ -41,7 +41,7 @@
 	s := &Snapshot{
 		Revision:     revision,
 		Document:     d.WithDefaults(),
-		ownerByKey:   make(map[keys.Hash]KeyOwner),
+		ownerByKey:   make(map[apikeys.Hash]KeyOwner),
 		routeByModel: make(map[string]string),
 	}
 	s.indexKeys()
@@ -53,7 +53,7 @@
 }
 
 // Owner returns the owner of the key with hash h.
-func (s *Snapshot) Owner(h keys.Hash) (KeyOwner, bool) {
+func (s *Snapshot) Owner(h apikeys.Hash) (KeyOwner, bool) {
 	owner, ok := s.ownerByKey[h]
 	return owner, ok
 }
@@ -84,7 +84,7 @@
 func (s *Snapshot) indexKeys() {
 	for name, w := range s.Document.Workspaces {
 		for _, k := range w.Keys {
-			h, err := keys.ParseHash(k.SHA256)
+			h, err := apikeys.ParseHash(k.SHA256)
 			if err != nil {
 				continue
 			}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 )
 
 // Problem is one validation error of a document.
@@ -69,13 +69,13 @@
 }
 
 func (v *validator) checkWorkspaces() {
-	owners := make(map[keys.Hash]string)
+	owners := make(map[apikeys.Hash]string)
 	for _, name := range sortedNames(v.doc.Workspaces) {
 		v.checkWorkspace(name, v.doc.Workspaces[name], owners)
 	}
 }
 
-func (v *validator) checkWorkspace(name string, w Workspace, owners map[keys.Hash]string) {
+func (v *validator) checkWorkspace(name string, w Workspace, owners map[apikeys.Hash]string) {
 	path := "workspaces." + name
 	if w.Weight <= 0 {
 		v.addf(path+".weight", "must be positive")
@@ -97,11 +97,11 @@
 	}
 }
 
-func (v *validator) checkKey(path, workspace string, k Key, owners map[keys.Hash]string) {
+func (v *validator) checkKey(path, workspace string, k Key, owners map[apikeys.Hash]string) {
 	if k.ID == "" {
 		v.addf(path+".id", "is required")
 	}
-	h, err := keys.ParseHash(k.SHA256)
+	h, err := apikeys.ParseHash(k.SHA256)
 	if err != nil {
 		v.addf(path+".sha256", "%v", err)
 		return
--- a/internal/control/sections/state.go
+++ b/internal/control/configstate/state.go
@@ -1,8 +1,8 @@
-// Package sections implements the replicated service document. The document
+// Package configstate implements the replicated service document. The document
 // consists of sections, each with a revision. Edits are compare-and-set
 // operations on those revisions, and a bounded history of changes lets other
 // VMs catch up. The package does no I/O.
-package sections
+package configstate
 
 import (
 	"fmt"
--- a/internal/control/sections/statemachine_test.go
+++ b/internal/control/configstate/statemachine_test.go
@@ -1,4 +1,4 @@
-package sections
+package configstate
 
 import (
 	"fmt"
--- a/internal/control/keyset/statemachine.go
+++ b/internal/control/withdrawnkeys/statemachine.go
@@ -1,6 +1,6 @@
-// Package keyset implements the replicated, grow-only set of withdrawn API
-// keys. The package does no I/O.
-package keyset
+// Package withdrawnkeys implements the replicated, grow-only set of withdrawn
+// API keys. The package does no I/O.
+package withdrawnkeys
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	keysv1 "github.com/cuminwing/cuminwing/proto/keys/v1"
 	"google.golang.org/protobuf/proto"
 )
@@ -17,28 +17,28 @@
 // StateMachine is the replicated set of withdrawn keys. Any goroutine may call
 // Contains.
 type StateMachine struct {
-	onAdd func([]keys.Hash)
+	onAdd func([]apikeys.Hash)
 
 	mu  sync.RWMutex
-	set map[keys.Hash]struct{}
+	set map[apikeys.Hash]struct{}
 }
 
 // NewStateMachine returns an empty set. It calls onAdd with the hashes of each
 // command and of each restored snapshot.
-func NewStateMachine(onAdd func([]keys.Hash)) *StateMachine {
-	return &StateMachine{onAdd: onAdd, set: make(map[keys.Hash]struct{})}
+func NewStateMachine(onAdd func([]apikeys.Hash)) *StateMachine {
+	return &StateMachine{onAdd: onAdd, set: make(map[apikeys.Hash]struct{})}
 }
 
 // EncodeWithdrawal returns the command that withdraws the keys with the given
 // hashes.
-func EncodeWithdrawal(hashes []keys.Hash) []byte {
+func EncodeWithdrawal(hashes []apikeys.Hash) []byte {
 	// Marshal does not fail on a message built by this package.
 	data, _ := proto.Marshal(&keysv1.Withdrawal{Hashes: EncodeHashes(hashes)})
 	return data
 }
 
 // DecodeWithdrawal returns the hashes in a command or a snapshot.
-func DecodeWithdrawal(data []byte) ([]keys.Hash, error) {
+func DecodeWithdrawal(data []byte) ([]apikeys.Hash, error) {
 	var message keysv1.Withdrawal
 	if err := proto.Unmarshal(data, &message); err != nil {
 		return nil, fmt.Errorf("decode key withdrawal: %w", err)
@@ -47,7 +47,7 @@
 }
 
 // EncodeHashes converts hashes to their wire format.
-func EncodeHashes(hashes []keys.Hash) [][]byte {
+func EncodeHashes(hashes []apikeys.Hash) [][]byte {
 	out := make([][]byte, len(hashes))
 	for i := range hashes {
 		out[i] = hashes[i][:]
@@ -56,8 +56,8 @@
 }
 
 // DecodeHashes converts hashes from their wire format.
-func DecodeHashes(raw [][]byte) ([]keys.Hash, error) {
-	out := make([]keys.Hash, len(raw))
+func DecodeHashes(raw [][]byte) ([]apikeys.Hash, error) {
+	out := make([]apikeys.Hash, len(raw))
 	for i, b := range raw {
 		if len(b) != len(out[i]) {
 			return nil, fmt.Errorf("key hash has %d bytes, want %d", len(b), len(out[i]))
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (p *StateMachine) add(hashes []keys.Hash) {
+func (p *StateMachine) add(hashes []apikeys.Hash) {
 	p.mu.Lock()
 	for _, h := range hashes {
 		p.set[h] = struct{}{}
@@ -90,7 +90,7 @@
 
 // Contains reports whether the withdrawal of the key with hash h is committed
 // and applied.
-func (p *StateMachine) Contains(h keys.Hash) bool {
+func (p *StateMachine) Contains(h apikeys.Hash) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	_, ok := p.set[h]
@@ -100,12 +100,12 @@
 // Snapshot implements control.StateMachine.
 func (p *StateMachine) Snapshot() ([]byte, error) {
 	p.mu.RLock()
-	hashes := make([]keys.Hash, 0, len(p.set))
+	hashes := make([]apikeys.Hash, 0, len(p.set))
 	for h := range p.set {
 		hashes = append(hashes, h)
 	}
 	p.mu.RUnlock()
-	slices.SortFunc(hashes, func(a, b keys.Hash) int { return bytes.Compare(a[:], b[:]) })
+	slices.SortFunc(hashes, func(a, b apikeys.Hash) int { return bytes.Compare(a[:], b[:]) })
 	return EncodeWithdrawal(hashes), nil
 }
 
--- a/internal/control/keyset/statemachine_test.go
+++ b/internal/control/withdrawnkeys/statemachine_test.go
@@ -1,23 +1,23 @@
-package keyset
+package withdrawnkeys
 
 import (
 	"testing"
 	"time"
 
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 )
 
 // Guards against losing a withdrawal when a snapshot is taken and restored.
 func TestWithdrawalsSurviveSnapshot(t *testing.T) {
-	withdrawn := keys.NewWithdrawnSet()
-	p := NewStateMachine(func(h []keys.Hash) { withdrawn.Add(h...) })
-	h := keys.HashKey("cw-leaked")
-	p.Apply(1, time.Time{}, EncodeWithdrawal([]keys.Hash{h}))
+	withdrawn := apikeys.NewWithdrawnSet()
+	p := NewStateMachine(func(h []apikeys.Hash) { withdrawn.Add(h...) })
+	h := apikeys.HashKey("cw-leaked")
+	p.Apply(1, time.Time{}, EncodeWithdrawal([]apikeys.Hash{h}))
 	data, err := p.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewStateMachine(func([]keys.Hash) {})
+	restored := NewStateMachine(func([]apikeys.Hash) {})
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 }
 
 func FuzzDecodeWithdrawal(f *testing.F) {
-	f.Add(EncodeWithdrawal([]keys.Hash{keys.HashKey("a")}))
+	f.Add(EncodeWithdrawal([]apikeys.Hash{apikeys.HashKey("a")}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		hashes, err := DecodeWithdrawal(data)
 		if err != nil {
--- a/internal/daemon/access_test.go
+++ b/internal/daemon/access_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
 // Guards against model requests that run without a key, with an unknown key, or
@@ -17,7 +17,7 @@
 	grade := document.Routes["grade"]
 	grade.Workspaces = []string{"yards"}
 	document.Routes["grade"] = grade
-	document.Workspaces["other"] = config.Workspace{Keys: []config.Key{{ID: "k", SHA256: keys.HashKey(otherKey).String()}}}
+	document.Workspaces["other"] = config.Workspace{Keys: []config.Key{{ID: "k", SHA256: apikeys.HashKey(otherKey).String()}}}
 	document.Rates["other"] = document.Rates["yards"]
 	vm := startVM(t, "muc-a", document)
 	engine := startEngine(t, "e1", false, vm)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -8,8 +8,8 @@
 	"github.com/twitchtv/twirp"
 	"go.uber.org/zap"
 
-	"github.com/cuminwing/cuminwing/internal/control/keyset"
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
+	"github.com/cuminwing/cuminwing/internal/control/withdrawnkeys"
 	"github.com/cuminwing/cuminwing/internal/target"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
@@ -79,7 +79,7 @@
 
 // WithdrawKeys implements adminv1.AdminService.
 func (s adminServer) WithdrawKeys(ctx context.Context, req *adminv1.WithdrawKeysRequest) (*adminv1.WithdrawKeysResponse, error) {
-	hashes, err := keyset.DecodeHashes(req.GetHashes())
+	hashes, err := withdrawnkeys.DecodeHashes(req.GetHashes())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("hashes", err.Error())
 	}
@@ -101,7 +101,7 @@
 			continue
 		}
 		for _, k := range workspace.Keys {
-			hash, err := keys.ParseHash(k.SHA256)
+			hash, err := apikeys.ParseHash(k.SHA256)
 			if err != nil {
 				continue
 			}
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/control"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	"github.com/cuminwing/cuminwing/internal/loopback"
 	"github.com/cuminwing/cuminwing/internal/settings"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
@@ -289,7 +289,7 @@
 
 func applyFirst(t testing.TB, n *Node, d config.Document) *adminv1.ApplyConfigResponse {
 	t.Helper()
-	edit, err := sections.InitialEdit("first", d)
+	edit, err := configstate.InitialEdit("first", d)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/configedit.go
+++ b/internal/daemon/configedit.go
@@ -13,7 +13,7 @@
 
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/control"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
@@ -232,7 +232,7 @@
 	if err != nil {
 		return nil, err
 	}
-	edit, err := sections.InitialEdit("", *document)
+	edit, err := configstate.InitialEdit("", *document)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -15,7 +15,7 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/statefile"
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/control"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
@@ -37,12 +37,12 @@
 // from the applied log; other VMs pull it.
 type distribution struct {
 	node         *Node
-	stateMachine *sections.StateMachine
+	stateMachine *configstate.StateMachine
 	// contact records the last contact with control VMs.
 	contact controlContact
 
 	mu    sync.Mutex
-	state atomic.Pointer[sections.State]
+	state atomic.Pointer[configstate.State]
 	// revisionChanged is closed and replaced when the revision increases.
 	revisionChanged chan struct{}
 
@@ -74,8 +74,8 @@
 		notifyDue:       make(chan struct{}, 1),
 		hints:           make(chan hint, maxPendingHints),
 	}
-	d.state.Store(sections.NewState())
-	d.stateMachine = sections.NewStateMachine(func() { signal(d.applied) })
+	d.state.Store(configstate.NewState())
+	d.stateMachine = configstate.NewStateMachine(func() { signal(d.applied) })
 	n.stateMachines[control.KindConfig] = d.stateMachine
 	n.distribution = d
 	d.loadFile()
@@ -115,7 +115,7 @@
 // the current one. It writes the state file first, so that a zone that restarts
 // after a crash while it is partitioned does not revert to an older
 // configuration.
-func (d *distribution) activate(state *sections.State) bool {
+func (d *distribution) activate(state *configstate.State) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if state.Revision <= d.state.Load().Revision {
@@ -178,7 +178,7 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	var state *sections.State
+	var state *configstate.State
 	if err == nil {
 		state, err = decodeFile(data)
 	}
@@ -189,12 +189,12 @@
 	d.activate(state)
 }
 
-func decodeFile(data []byte) (*sections.State, error) {
+func decodeFile(data []byte) (*configstate.State, error) {
 	var document configv1.Document
 	if err := proto.Unmarshal(data, &document); err != nil {
 		return nil, err
 	}
-	return sections.DecodeDocument(&document)
+	return configstate.DecodeDocument(&document)
 }
 
 func (d *distribution) path() string {
@@ -204,7 +204,7 @@
 // saveFile writes the configuration without its history. This keeps the file
 // small; a restarted VM answers pulls with the whole document until it has
 // received new changes.
-func (d *distribution) saveFile(state *sections.State) {
+func (d *distribution) saveFile(state *configstate.State) {
 	if d.node.settings.DataFolder == "" {
 		return
 	}
--- a/internal/daemon/distribution_pull.go
+++ b/internal/daemon/distribution_pull.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"go.uber.org/zap"
 
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
@@ -157,7 +157,7 @@
 		}
 	}
 	err = d.applyPull(answer)
-	var gap *sections.GapError
+	var gap *configstate.GapError
 	if errors.As(err, &gap) && request.GetSince() > 0 {
 		return d.pullFrom(ctx, address, &configv1.PullRequest{})
 	}
@@ -166,7 +166,7 @@
 
 func (d *distribution) applyPull(answer *configv1.PullResponse) error {
 	if answer.GetDocument() != nil {
-		state, err := sections.DecodeDocument(answer.GetDocument())
+		state, err := configstate.DecodeDocument(answer.GetDocument())
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/cuminwing/cuminwing/internal/adapter/statefile"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	"github.com/cuminwing/cuminwing/internal/settings"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
@@ -216,11 +216,11 @@
 // Guards against an initial edit whose document differs from the document file.
 func TestFirstEditGivesSameDocument(t *testing.T) {
 	want := clusterDocument(config.UnconfirmedRefuse)
-	edit, err := sections.InitialEdit("first", want)
+	edit, err := configstate.InitialEdit("first", want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := sections.NewState().Apply(&configv1.Change{Revision: 1, Edit: edit})
+	s, err := configstate.NewState().Apply(&configv1.Change{Revision: 1, Edit: edit})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/settings"
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
@@ -30,7 +30,7 @@
 func testDocument() config.Document {
 	return config.Document{
 		Models:     map[string]config.Model{testModel: {ServingVersion: "v1"}},
-		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.HashKey(testKey).String()}}}},
+		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: apikeys.HashKey(testKey).String()}}}},
 		Rates:      map[string]config.Rate{"yards": {RateTokensPerSecond: 1e6, BurstTokens: 1e6, MaxWaitMS: 10000}},
 		Routes: map[string]config.Route{
 			"grade":  {Kind: config.KindModel, Model: testModel, MaxAttempts: 6, FirstTokenTimeoutMS: 2000, TokenGapTimeoutMS: 1000, TimeoutMS: 60000},
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -20,9 +20,9 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/gossip"
 	"github.com/cuminwing/cuminwing/internal/adapter/replica"
 	"github.com/cuminwing/cuminwing/internal/adapter/targethttp"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/control"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/membership"
 	"github.com/cuminwing/cuminwing/internal/orders"
 	"github.com/cuminwing/cuminwing/internal/serving"
@@ -59,7 +59,7 @@
 	incarnation uint64
 
 	snapshot  atomic.Pointer[config.Snapshot]
-	withdrawn *keys.WithdrawnSet
+	withdrawn *apikeys.WithdrawnSet
 	registry  *target.Registry
 	gossip    *gossip.Conn
 	ledger    *usage.Ledger
@@ -151,7 +151,7 @@
 		logger:        options.Logger,
 		clock:         options.Clock,
 		incarnation:   uint64(options.Clock().UnixMicro()),
-		withdrawn:     keys.NewWithdrawnSet(),
+		withdrawn:     apikeys.NewWithdrawnSet(),
 		registry:      target.NewRegistry(),
 		stateMachines: make(map[control.Kind]control.StateMachine),
 		peerMux:       http.NewServeMux(),
--- a/internal/daemon/restart_bench_test.go
+++ b/internal/daemon/restart_bench_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/control"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
 )
 
@@ -31,7 +31,7 @@
 // commitDailyEdits commits the first document and the edits of one day.
 func commitDailyEdits(tb testing.TB, n *Node) uint64 {
 	tb.Helper()
-	edit, err := sections.InitialEdit("first", designDocument())
+	edit, err := configstate.InitialEdit("first", designDocument())
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/daemon/services_test.go
+++ b/internal/daemon/services_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
@@ -158,13 +158,13 @@
 // Guards against forwarding a caller's key to a target. The test puts keys in
 // every place where an HTTP client can put them.
 func TestNoTargetSeesTheKey(t *testing.T) {
-	other, err := keys.New()
-	if err != nil || len(other) != keys.Length {
+	other, err := apikeys.New()
+	if err != nil || len(other) != apikeys.Length {
 		t.Fatal(err, len(other))
 	}
 	document := testDocument()
 	yards := document.Workspaces["yards"]
-	yards.Keys = append(yards.Keys, config.Key{ID: "k2", SHA256: keys.HashKey(other).String()})
+	yards.Keys = append(yards.Keys, config.Key{ID: "k2", SHA256: apikeys.HashKey(other).String()})
 	document.Workspaces["yards"] = yards
 	vm := startVM(t, "muc-a", document)
 	service := startService(t, "stock", "s1", vm)
--- a/internal/daemon/serving.go
+++ b/internal/daemon/serving.go
@@ -8,8 +8,8 @@
 
 	"github.com/cuminwing/cuminwing/internal/adapter/callerhttp"
 	"github.com/cuminwing/cuminwing/internal/adapter/targethttp"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/retry"
 	"github.com/cuminwing/cuminwing/internal/routing"
 	"github.com/cuminwing/cuminwing/internal/serving"
@@ -94,7 +94,7 @@
 // requires confirmation.
 type keyValidator struct{ node *Node }
 
-func (k keyValidator) Usable(h keys.Hash, w config.Workspace) bool {
+func (k keyValidator) Usable(h apikeys.Hash, w config.Workspace) bool {
 	if k.node.withdrawn.Contains(h) {
 		return false
 	}
@@ -105,6 +105,6 @@
 	return ok && age <= time.Duration(w.KeyLeaseMS)*time.Millisecond
 }
 
-func (k keyValidator) Watch(ctx context.Context, h keys.Hash) (context.Context, context.CancelFunc) {
+func (k keyValidator) Watch(ctx context.Context, h apikeys.Hash) (context.Context, context.CancelFunc) {
 	return k.node.withdrawn.Watch(ctx, h)
 }
--- a/internal/daemon/streams_test.go
+++ b/internal/daemon/streams_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/standin"
 )
 
@@ -129,7 +129,7 @@
 	engine := startEngine(t, "e1", false, vm)
 	got := ask(t, vm, "dossier", 100000, func(n int) {
 		if n == 10 {
-			vm.withdrawn.Add(keys.HashKey(testKey))
+			vm.withdrawn.Add(apikeys.HashKey(testKey))
 		}
 	})
 	if got.done != 0 || got.failed != "key_withdrawn" {
--- a/internal/daemon/withdrawals.go
+++ b/internal/daemon/withdrawals.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 
 	"github.com/cuminwing/cuminwing/internal/adapter/statefile"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/control"
-	"github.com/cuminwing/cuminwing/internal/control/keyset"
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/control/withdrawnkeys"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 	keysv1 "github.com/cuminwing/cuminwing/proto/keys/v1"
 )
@@ -39,7 +39,7 @@
 // withdrawals distributes withdrawn keys. The set itself is Node.withdrawn.
 type withdrawals struct {
 	node         *Node
-	stateMachine *keyset.StateMachine
+	stateMachine *withdrawnkeys.StateMachine
 
 	// fileMu guards the state file and saved, the digest of its contents.
 	fileMu sync.Mutex
@@ -48,17 +48,17 @@
 	mu sync.Mutex
 	// pending holds the withdrawals that this VM accepted and that are not
 	// committed yet.
-	pending map[keys.Hash]struct{}
+	pending map[apikeys.Hash]struct{}
 	// uncommittedRounds counts the rounds in which this voter found a key
 	// uncommitted.
-	uncommittedRounds map[keys.Hash]int
+	uncommittedRounds map[apikeys.Hash]int
 }
 
 // startWithdrawals registers withdrawn keys as a state machine and loads
 // those stored in the data folder.
 func (n *Node) startWithdrawals() error {
-	w := &withdrawals{node: n, pending: make(map[keys.Hash]struct{}), uncommittedRounds: make(map[keys.Hash]int)}
-	w.stateMachine = keyset.NewStateMachine(func(h []keys.Hash) { n.withdrawn.Add(h...) })
+	w := &withdrawals{node: n, pending: make(map[apikeys.Hash]struct{}), uncommittedRounds: make(map[apikeys.Hash]int)}
+	w.stateMachine = withdrawnkeys.NewStateMachine(func(h []apikeys.Hash) { n.withdrawn.Add(h...) })
 	n.stateMachines[control.KindKeys] = w.stateMachine
 	n.withdrawals = w
 	service := keysv1.NewKeyServiceServer(keyServer{w})
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	hashes, err := keyset.DecodeWithdrawal(data)
+	hashes, err := withdrawnkeys.DecodeWithdrawal(data)
 	if err != nil {
 		return &statefile.CorruptError{File: w.path(), Reason: err.Error()}
 	}
@@ -106,7 +106,7 @@
 }
 
 // add withdraws keys on this VM immediately and stores them in the data folder.
-func (w *withdrawals) add(hashes []keys.Hash) error {
+func (w *withdrawals) add(hashes []apikeys.Hash) error {
 	if added := w.node.withdrawn.Add(hashes...); len(added) > 0 {
 		w.node.logger.Info("keys withdrawn", zap.Int("count", len(added)))
 	}
@@ -124,7 +124,7 @@
 	if digest == w.saved {
 		return nil
 	}
-	if err := statefile.Write(w.path(), keyset.EncodeWithdrawal(w.node.withdrawn.All())); err != nil {
+	if err := statefile.Write(w.path(), withdrawnkeys.EncodeWithdrawal(w.node.withdrawn.All())); err != nil {
 		w.node.logger.Error("failed to write the withdrawn keys file", zap.Error(err))
 		return err
 	}
@@ -135,7 +135,7 @@
 // withdraw applies a withdrawal on this VM, pushes it to all known VMs and
 // proposes it to the log. It returns after a limited time; confirmations that
 // are still missing then continue in the background.
-func (w *withdrawals) withdraw(ctx context.Context, hashes []keys.Hash) *adminv1.WithdrawKeysResponse {
+func (w *withdrawals) withdraw(ctx context.Context, hashes []apikeys.Hash) *adminv1.WithdrawKeysResponse {
 	saved := w.add(hashes) == nil
 	w.mu.Lock()
 	for _, h := range hashes {
@@ -153,8 +153,8 @@
 	return response
 }
 
-func (w *withdrawals) push(ctx context.Context, self bool, hashes []keys.Hash) []*adminv1.ZoneReach {
-	request := &keysv1.PushRequest{Hashes: keyset.EncodeHashes(hashes)}
+func (w *withdrawals) push(ctx context.Context, self bool, hashes []apikeys.Hash) []*adminv1.ZoneReach {
+	request := &keysv1.PushRequest{Hashes: withdrawnkeys.EncodeHashes(hashes)}
 	return w.node.pollPeers(ctx, self, func(ctx context.Context, p peer) (string, bool) {
 		answer, err := w.client(p).Push(ctx, request)
 		if err != nil {
@@ -169,8 +169,8 @@
 }
 
 // commit proposes keys once and reports whether the log has committed them.
-func (w *withdrawals) commit(ctx context.Context, hashes []keys.Hash) bool {
-	if _, err := w.node.propose(ctx, control.KindKeys, keyset.EncodeWithdrawal(hashes)); err != nil {
+func (w *withdrawals) commit(ctx context.Context, hashes []apikeys.Hash) bool {
+	if _, err := w.node.propose(ctx, control.KindKeys, withdrawnkeys.EncodeWithdrawal(hashes)); err != nil {
 		return false
 	}
 	w.mu.Lock()
@@ -196,10 +196,10 @@
 }
 
 // uncommitted returns the withdrawals that this VM must propose in this round.
-func (w *withdrawals) uncommitted() []keys.Hash {
+func (w *withdrawals) uncommitted() []apikeys.Hash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var due []keys.Hash
+	var due []apikeys.Hash
 	for h := range w.pending {
 		due = append(due, h)
 	}
@@ -247,7 +247,7 @@
 	if err != nil {
 		return err
 	}
-	theirs, err := keyset.DecodeHashes(answer.GetHashes())
+	theirs, err := withdrawnkeys.DecodeHashes(answer.GetHashes())
 	if err != nil {
 		return err
 	}
@@ -258,17 +258,17 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	_, err = w.client(p).Push(ctx, &keysv1.PushRequest{Hashes: keyset.EncodeHashes(missing)})
+	_, err = w.client(p).Push(ctx, &keysv1.PushRequest{Hashes: withdrawnkeys.EncodeHashes(missing)})
 	return err
 }
 
 // missingFrom returns the keys of ours that theirs does not contain.
-func missingFrom(theirs, ours []keys.Hash) []keys.Hash {
-	known := make(map[keys.Hash]bool, len(theirs))
+func missingFrom(theirs, ours []apikeys.Hash) []apikeys.Hash {
+	known := make(map[apikeys.Hash]bool, len(theirs))
 	for _, h := range theirs {
 		known[h] = true
 	}
-	var missing []keys.Hash
+	var missing []apikeys.Hash
 	for _, h := range ours {
 		if !known[h] {
 			missing = append(missing, h)
@@ -283,7 +283,7 @@
 // Push implements keysv1.KeyService. The response confirms that this VM rejects
 // the keys, also after a restart with the data folder.
 func (s keyServer) Push(_ context.Context, req *keysv1.PushRequest) (*keysv1.PushResponse, error) {
-	hashes, err := keyset.DecodeHashes(req.GetHashes())
+	hashes, err := withdrawnkeys.DecodeHashes(req.GetHashes())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("hashes", err.Error())
 	}
@@ -306,5 +306,5 @@
 		}
 	}
 	hashes := s.w.node.withdrawn.InBuckets(differing)
-	return &keysv1.SyncResponse{Differing: differing, Hashes: keyset.EncodeHashes(hashes)}, nil
+	return &keysv1.SyncResponse{Differing: differing, Hashes: withdrawnkeys.EncodeHashes(hashes)}, nil
 }
--- a/internal/daemon/withdrawals_test.go
+++ b/internal/daemon/withdrawals_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/control/keyset"
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/control/withdrawnkeys"
 	"github.com/cuminwing/cuminwing/internal/settings"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 )
 
-func hashOf(key string) string { return keys.HashKey(key).String() }
+func hashOf(key string) string { return apikeys.HashKey(key).String() }
 
 func withdraw(t testing.TB, n *Node, key string) *adminv1.WithdrawKeysResponse {
 	t.Helper()
-	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.EncodeHashes([]keys.Hash{keys.HashKey(key)}), EditId: "w"}
+	request := &adminv1.WithdrawKeysRequest{Hashes: withdrawnkeys.EncodeHashes([]apikeys.Hash{apikeys.HashKey(key)}), EditId: "w"}
 	response, err := adminClientOf(n).WithdrawKeys(context.Background(), request)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	requireAccepted(t, applyEdit(t, connected, edit))
 	c.partition(2, false)
 	await(t, "withdrawal reaches the connected VM", func() bool { return callerStatus(connected) == http.StatusUnauthorized })
-	await(t, "withdrawal is committed", func() bool { return connected.withdrawals.stateMachine.Contains(keys.HashKey(clusterKey)) })
+	await(t, "withdrawal is committed", func() bool { return connected.withdrawals.stateMachine.Contains(apikeys.HashKey(clusterKey)) })
 	if callerStatus(isolated) != http.StatusUnauthorized {
 		t.Fatal("the later configuration reverted the withdrawal")
 	}
@@ -102,7 +102,7 @@
 	c := newTestCluster(t, 2, 1)
 	voter := c.start(0, "muc-a", nil)
 	n := c.start(1, "nue-a", nil)
-	ctx, cancel := keyValidator{n}.Watch(context.Background(), keys.HashKey(clusterKey))
+	ctx, cancel := keyValidator{n}.Watch(context.Background(), apikeys.HashKey(clusterKey))
 	defer cancel()
 	c.awaitMembers()
 	withdraw(t, voter, clusterKey)
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -18,7 +18,7 @@
 	"github.com/cuminwing/cuminwing/internal/control"
 	"github.com/cuminwing/cuminwing/internal/fleet"
 	"github.com/cuminwing/cuminwing/internal/fleetsync"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/pause"
 	"github.com/cuminwing/cuminwing/internal/raft"
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
@@ -82,7 +82,7 @@
 
 // DocumentDecoder decodes the document that an operator has sent. Its error
 // names the invalid part.
-type DocumentDecoder func(raw []byte) (*gateway.Document, error)
+type DocumentDecoder func(raw []byte) (*gatewayconfig.Document, error)
 
 // Core is a core process: one replica of the control log, with the tasks that
 // the leader runs.
@@ -91,7 +91,7 @@
 	logger      *zap.Logger
 	decode      DocumentDecoder
 	engines     EngineAPI
-	document    *gateway.StateMachine
+	document    *gatewayconfig.StateMachine
 	registry    *fleet.Registry
 	replica     *replica.Replica
 	log         *replica.Log
@@ -154,7 +154,7 @@
 func runCore(ctx context.Context, s Settings, options CoreOptions) error {
 	c := &Core{
 		settings: s, logger: options.Logger, decode: options.Decode, engines: options.Engines, disk: options.Disk,
-		document: &gateway.StateMachine{}, registry: fleet.NewRegistry(), changed: make(chan struct{}), logFailed: make(chan struct{}),
+		document: &gatewayconfig.StateMachine{}, registry: fleet.NewRegistry(), changed: make(chan struct{}), logFailed: make(chan struct{}),
 		client: peerClient(), storeHealth: newStoreHealth(),
 	}
 	// The tasks keep running after ctx is done, so that shutdown can transfer
--- a/internal/edge/coreapi.go
+++ b/internal/edge/coreapi.go
@@ -7,31 +7,31 @@
 
 	"github.com/cuminwing/cuminwing/internal/control"
 	"github.com/cuminwing/cuminwing/internal/fleet"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 )
 
 // PutDocument validates a document from an operator and commits it to the
-// control log. An error that is gateway.ErrInvalid names the invalid part. After
-// ErrUnavailable the document may or may not be in force.
+// control log. An error that is gatewayconfig.ErrInvalid names the invalid
+// part. After ErrUnavailable the document may or may not be in force.
 func (c *Core) PutDocument(ctx context.Context, raw []byte) error {
 	document, err := c.decode(raw)
 	if err != nil {
 		c.logger.Info("document rejected", zap.Int("bytes", len(raw)), zap.Error(err))
 		return err
 	}
-	err = c.propose(ctx, control.KindDocument, gateway.EncodeProposal(document.Version, raw))
+	err = c.propose(ctx, control.KindDocument, gatewayconfig.EncodeProposal(document.Version, raw))
 	c.logger.Info("document proposed", zap.Uint64("version", document.Version), zap.Int("bytes", len(raw)),
 		zap.Int("routes", len(document.Routes)), zap.Uint64("in_force", c.document.Current().Version), zap.Error(err))
 	return err
 }
 
 // Document returns the latest committed document, by a linearizable read.
-func (c *Core) Document(ctx context.Context) (gateway.StoredDocument, error) {
+func (c *Core) Document(ctx context.Context) (gatewayconfig.StoredDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if err := c.barriers.wait(ctx); err != nil {
 		c.logger.Info("document read failed", zap.Error(err))
-		return gateway.StoredDocument{}, ErrUnavailable
+		return gatewayconfig.StoredDocument{}, ErrUnavailable
 	}
 	return c.document.Current(), nil
 }
--- a/internal/edge/corestores_test.go
+++ b/internal/edge/corestores_test.go
@@ -12,17 +12,17 @@
 	"go.uber.org/zap"
 
 	"github.com/cuminwing/cuminwing/internal/fleetsync"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 )
 
 func documentWithStores(version uint64, addresses ...string) []byte {
-	d := &gateway.Document{
+	d := &gatewayconfig.Document{
 		Version:  version,
-		Services: []gateway.Service{{Name: "s", Engine: &gateway.Engine{CacheTokens: 1000, TokenBytes: 1000}}},
+		Services: []gatewayconfig.Service{{Name: "s", Engine: &gatewayconfig.Engine{CacheTokens: 1000, TokenBytes: 1000}}},
 	}
 	for _, address := range addresses {
-		d.Services = append(d.Services, gateway.Service{
-			Name: "store " + address, Store: &gateway.Store{Address: address, Zone: "z", Tokens: 1000, Rate: 1e9},
+		d.Services = append(d.Services, gatewayconfig.Service{
+			Name: "store " + address, Store: &gatewayconfig.Store{Address: address, Zone: "z", Tokens: 1000, Rate: 1e9},
 		})
 	}
 	raw, err := json.Marshal(d)
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -15,10 +15,10 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/metrics"
 	"github.com/cuminwing/cuminwing/internal/adapter/targetconn"
 	"github.com/cuminwing/cuminwing/internal/fleet"
-	"github.com/cuminwing/cuminwing/internal/forward"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/pause"
 	"github.com/cuminwing/cuminwing/internal/placement"
+	"github.com/cuminwing/cuminwing/internal/proxy"
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
@@ -77,7 +77,7 @@
 	shares   *ratelimit.ShareLimiter
 	pool     *targetconn.Pool
 	counters *metrics.Set
-	handler  *forward.Handler
+	handler  *proxy.Handler
 	client   *http.Client
 	// incarnation identifies this run of the process: its start in Unix
 	// milliseconds.
@@ -86,7 +86,7 @@
 	// use as well.
 	startedAt time.Duration
 
-	state        atomic.Pointer[forward.State]
+	state        atomic.Pointer[proxy.State]
 	registry     *fleet.State
 	peers        *frontPeers
 	staleWeights *staleWeightsFilter
@@ -110,7 +110,7 @@
 type FrontOptions struct {
 	Logger *zap.Logger
 	Decode DocumentDecoder
-	Codec  forward.Codec
+	Codec  proxy.Codec
 }
 
 // RunFront runs a front process until ctx is done. It returns after the requests
@@ -160,23 +160,23 @@
 	}
 	f.counters.Gauge("connections_opened", func() any { return f.pool.OpenedConnections() })
 	f.counters.Gauge("confirmed_age_ms", func() any { return (boottime.Now() - f.state.Load().Confirmed).Milliseconds() })
-	f.state.Store(&forward.State{Confirmed: -time.Hour})
-	f.handler = &forward.Handler{
+	f.state.Store(&proxy.State{Confirmed: -time.Hour})
+	f.handler = &proxy.Handler{
 		Codec: options.Codec, State: f.servingState,
 		Placer: f.placer, Quota: f.shares, Pool: f.pool, Logger: f.logger, BootClock: boottime.Now,
 		KeyLease: s.Guarantees.KeyRevocation - keyValidityMargin, StateExpected: f.stateExpected, Stopping: f.stopping.Load, Observe: f.recordRequest,
-		Budget: &forward.Budget{Ratio: s.Guarantees.RetryRatio, Slack: s.Guarantees.RetrySlack, Window: s.Guarantees.RetryWindow},
+		Budget: &proxy.Budget{Ratio: s.Guarantees.RetryRatio, Slack: s.Guarantees.RetrySlack, Window: s.Guarantees.RetryWindow},
 	}
 	return f
 }
 
 // kindLabels are the names of the run kinds in metrics.
-var kindLabels = map[gateway.RunKind]string{
-	gateway.RunOnce: "once", gateway.RunIdempotent: "idempotent", gateway.RunStream: "stream",
+var kindLabels = map[gatewayconfig.RunKind]string{
+	gatewayconfig.RunOnce: "once", gatewayconfig.RunIdempotent: "idempotent", gatewayconfig.RunStream: "stream",
 }
 
 // recordRequest counts a completed request and its latency.
-func (f *Front) recordRequest(kind gateway.RunKind, code string, took time.Duration) {
+func (f *Front) recordRequest(kind gatewayconfig.RunKind, code string, took time.Duration) {
 	name := kindLabels[kind]
 	f.counters.Add("requests_"+name+"_"+code, 1)
 	f.counters.Add("request_time_"+name+"_"+latencyBucket(took), 1)
--- a/internal/edge/frontsync.go
+++ b/internal/edge/frontsync.go
@@ -10,10 +10,10 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/boottime"
 	"github.com/cuminwing/cuminwing/internal/fleet"
 	"github.com/cuminwing/cuminwing/internal/fleetsync"
-	"github.com/cuminwing/cuminwing/internal/forward"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/pause"
 	"github.com/cuminwing/cuminwing/internal/placement"
+	"github.com/cuminwing/cuminwing/internal/proxy"
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
@@ -86,7 +86,7 @@
 }
 
 // rateLimitedWorkspaces returns the names of the workspaces that have a rate.
-func rateLimitedWorkspaces(d *gateway.Document) []string {
+func rateLimitedWorkspaces(d *gatewayconfig.Document) []string {
 	var names []string
 	for i := range d.Workspaces {
 		if d.Workspaces[i].Rate > 0 {
@@ -145,7 +145,7 @@
 
 // tableFor compiles the routing table of a response's document if that is newer
 // than the current one, and returns the current table otherwise.
-func (f *Front) tableFor(current *gateway.Table, response fleetsync.Response) (*gateway.Table, error) {
+func (f *Front) tableFor(current *gatewayconfig.Table, response fleetsync.Response) (*gatewayconfig.Table, error) {
 	if len(response.RawDocument) == 0 || current != nil && response.DocumentVersion <= current.Document.Version {
 		return current, nil
 	}
@@ -153,13 +153,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return gateway.Compile(document), nil
+	return gatewayconfig.Compile(document), nil
 }
 
 // servingState returns the state for requests. It has no table before the front
 // has received its shares of the rates, because until then the front would reject
 // requests that are within the rates.
-func (f *Front) servingState() forward.State {
+func (f *Front) servingState() proxy.State {
 	state := *f.state.Load()
 	if !f.sharesReceived.Load() {
 		state.Table = nil
@@ -168,7 +168,7 @@
 }
 
 // applyShares passes the granted shares to the rate limiter.
-func (f *Front) applyShares(state forward.State, sentAt time.Duration, grants map[string]ratelimit.ShareGrant) {
+func (f *Front) applyShares(state proxy.State, sentAt time.Duration, grants map[string]ratelimit.ShareGrant) {
 	f.shares.ApplyGrants(boottime.Now(), sentAt, state.FrontCount, grants, func(name string) (rate, burst float64) {
 		if w := state.Table.Workspace(name); w != nil {
 			return w.Rate, w.Burst
@@ -179,7 +179,7 @@
 
 // updatePlacement passes the targets, stores and connection limits to placement
 // and to the connection pool.
-func (f *Front) updatePlacement(table *gateway.Table, fronts int) {
+func (f *Front) updatePlacement(table *gatewayconfig.Table, fronts int) {
 	now := boottime.Now()
 	f.staleWeights.update(now, f.leader, f.registry)
 	f.weightsPending = false
@@ -203,7 +203,7 @@
 }
 
 // reachableStores returns the stores of the document except the unreachable ones.
-func (f *Front) reachableStores(table *gateway.Table) []placement.Store {
+func (f *Front) reachableStores(table *gatewayconfig.Table) []placement.Store {
 	if table == nil {
 		return nil
 	}
--- a/internal/edge/system_test.go
+++ b/internal/edge/system_test.go
@@ -22,9 +22,9 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/boottime"
 	"github.com/cuminwing/cuminwing/internal/adapter/disk"
 	"github.com/cuminwing/cuminwing/internal/fleet"
-	"github.com/cuminwing/cuminwing/internal/forward"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/loopback"
+	"github.com/cuminwing/cuminwing/internal/proxy"
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
@@ -35,21 +35,21 @@
 // own.
 type headerCodec struct{}
 
-func (headerCodec) DecodeRequest(h http.Header) (forward.Request, error) {
-	return forward.Request{ID: h.Get("Id"), APIKey: h.Get("Key"), Timeout: 2 * time.Second}, nil
+func (headerCodec) DecodeRequest(h http.Header) (proxy.Request, error) {
+	return proxy.Request{ID: h.Get("Id"), APIKey: h.Get("Key"), Timeout: 2 * time.Second}, nil
 }
-func (headerCodec) EncodeAttempt(caller http.Header, a *forward.Attempt) http.Header {
+func (headerCodec) EncodeAttempt(caller http.Header, a *proxy.Attempt) http.Header {
 	return http.Header{"Id": caller["Id"], "Workspace": {a.Workspace}}
 }
-func (headerCodec) DecodeResponse(_ int, h http.Header, _ string) forward.Response {
-	return forward.Response{RequestID: h.Get("Id"), Signed: true}
+func (headerCodec) DecodeResponse(_ int, h http.Header, _ string) proxy.Response {
+	return proxy.Response{RequestID: h.Get("Id"), Signed: true}
 }
 func (headerCodec) CopyResponseHeaders(to, from http.Header) { to["Workspace"] = from["Workspace"] }
 
-func decodeJSON(raw []byte) (*gateway.Document, error) {
-	var d gateway.Document
+func decodeJSON(raw []byte) (*gatewayconfig.Document, error) {
+	var d gatewayconfig.Document
 	if err := json.Unmarshal(raw, &d); err != nil {
-		return nil, errors.Join(gateway.ErrInvalid, err)
+		return nil, errors.Join(gatewayconfig.ErrInvalid, err)
 	}
 	return &d, d.Validate()
 }
@@ -198,14 +198,14 @@
 // documentWithKey returns an encoded document with one workspace that has the
 // given key and a rate of 100.
 func documentWithKey(version uint64, key string) []byte {
-	raw, err := json.Marshal(&gateway.Document{
+	raw, err := json.Marshal(&gatewayconfig.Document{
 		Version: version,
-		Routes: []gateway.Route{{
-			Name: "r", Host: "a.example", PathPrefix: "/", Kind: gateway.RunOnce, Timeout: 2 * time.Second,
-			Split: []gateway.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 1,
+		Routes: []gatewayconfig.Route{{
+			Name: "r", Host: "a.example", PathPrefix: "/", Kind: gatewayconfig.RunOnce, Timeout: 2 * time.Second,
+			Split: []gatewayconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 1,
 		}},
-		Services:   []gateway.Service{{Name: "s"}},
-		Workspaces: []gateway.Workspace{{Name: "w", Keys: []string{key}, Rate: 100, Burst: 100}},
+		Services:   []gatewayconfig.Service{{Name: "s"}},
+		Workspaces: []gatewayconfig.Workspace{{Name: "w", Keys: []string{key}, Rate: 100, Burst: 100}},
 	})
 	if err != nil {
 		panic(err)
@@ -371,7 +371,7 @@
 func TestInvalidDocumentIsRefusedByEveryCore(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, raw := range []string{"{", `{"Version":1,"Routes":[{"Name":"r"}]}`} {
-		if err := d.cores[0].core.PutDocument(context.Background(), []byte(raw)); !errors.Is(err, gateway.ErrInvalid) {
+		if err := d.cores[0].core.PutDocument(context.Background(), []byte(raw)); !errors.Is(err, gatewayconfig.ErrInvalid) {
 			t.Errorf("%s: %v, want ErrInvalid", raw, err)
 		}
 	}
--- a/internal/gateway/document.go
+++ b/internal/gatewayconfig/document.go
@@ -1,7 +1,7 @@
-// Package gateway holds the configuration document of routes, services and
+// Package gatewayconfig holds the configuration document of routes, services and
 // workspaces that front VMs apply, and the lookup table compiled from it. The
 // package does no I/O.
-package gateway
+package gatewayconfig
 
 import (
 	"crypto/sha256"
--- a/internal/gateway/document_test.go
+++ b/internal/gatewayconfig/document_test.go
@@ -1,4 +1,4 @@
-package gateway
+package gatewayconfig
 
 import (
 	"errors"
--- a/internal/gateway/statemachine.go
+++ b/internal/gatewayconfig/statemachine.go
@@ -1,4 +1,4 @@
-package gateway
+package gatewayconfig
 
 import (
 	"encoding/binary"
@@ -72,7 +72,7 @@
 // Restore implements control.StateMachine.
 func (p *StateMachine) Restore(data []byte) error {
 	if len(data) < versionBytes {
-		return errors.New("gateway: snapshot of the configuration document is truncated")
+		return errors.New("gatewayconfig: snapshot of the configuration document is truncated")
 	}
 	p.mu.Lock()
 	p.stored = StoredDocument{
--- a/internal/loadgen/profile.go
+++ b/internal/loadgen/profile.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
 // Prompt lengths, block sizes and prefill speeds are a tenth of the real ones,
@@ -131,7 +131,7 @@
 // MakeKeys generates a caller key for every workspace.
 func (p *Profile) MakeKeys() error {
 	for i := range p.Workspaces {
-		key, err := keys.New()
+		key, err := apikeys.New()
 		if err != nil {
 			return err
 		}
@@ -175,7 +175,7 @@
 		Run: config.RunAtMostOnce, Class: config.ClassInteractive, CostTokens: 1,
 	}
 	for _, w := range p.Workspaces {
-		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: keys.HashKey(w.Key).String()}}}
+		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: apikeys.HashKey(w.Key).String()}}}
 		rate := p.RequestsPerSecond * w.RequestShare * p.meanRequestTokens() * w.RateFactor
 		d.Rates[w.Name] = config.Rate{RateTokensPerSecond: rate, BurstTokens: max(burstSeconds*rate, 4*p.meanRequestTokens()), MaxWaitMS: 500}
 	}
--- a/internal/forward/budget.go
+++ b/internal/proxy/budget.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"sync"
--- a/internal/forward/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"github.com/cuminwing/cuminwing/internal/adapter/targetconn"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/loopback"
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
@@ -154,14 +154,14 @@
 	return f.state
 }
 
-func newFront(t *testing.T, route gateway.Route, targets ...*scriptedTarget) *front {
+func newFront(t *testing.T, route gatewayconfig.Route, targets ...*scriptedTarget) *front {
 	t.Helper()
 	route.Host, route.PathPrefix, route.Timeout = "a.example", "/", 2*time.Second
-	route.Split = []gateway.WeightedService{{Service: "s", Weight: 1}}
+	route.Split = []gatewayconfig.WeightedService{{Service: "s", Weight: 1}}
 	route.MaxAttempts = max(route.MaxAttempts, 1)
-	document := &gateway.Document{
-		Version: 1, Routes: []gateway.Route{route}, Services: []gateway.Service{{Name: "s"}},
-		Workspaces: []gateway.Workspace{{Name: "w", Keys: []string{"key"}}},
+	document := &gatewayconfig.Document{
+		Version: 1, Routes: []gatewayconfig.Route{route}, Services: []gatewayconfig.Service{{Name: "s"}},
+		Workspaces: []gatewayconfig.Workspace{{Name: "w", Keys: []string{"key"}}},
 	}
 	placer := placement.New("z", "r", time.Now)
 	var list []placement.Target
@@ -171,13 +171,13 @@
 		list = append(list, placement.Target{ID: fmt.Sprint("t", i), Address: target.address, Zone: "z", Region: []string{"r", "far"}[min(i, 1)]})
 	}
 	placer.Update(map[string][]placement.Target{"s": list})
-	f := &front{state: State{Table: gateway.Compile(document), FrontCount: 1}}
+	f := &front{state: State{Table: gatewayconfig.Compile(document), FrontCount: 1}}
 	f.handler = &Handler{
 		Codec: testCodec{}, State: f.getState, Placer: placer, Quota: unlimitedQuota{},
 		Budget: &Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, Pool: targetconn.New(), Logger: zap.NewNop(),
 		BootClock: func() time.Duration { return 0 }, KeyLease: time.Second, StateExpected: func() bool { return f.stateSoon },
 		Stopping: func() bool { return false },
-		Observe:  func(gateway.RunKind, string, time.Duration) {},
+		Observe:  func(gatewayconfig.RunKind, string, time.Duration) {},
 	}
 	f.server = httptest.NewServer(f.handler)
 	t.Cleanup(f.server.Close)
@@ -209,7 +209,7 @@
 // as they were sent, and the key must be removed.
 func TestRequestArrivesUnchangedAndWithoutTheKey(t *testing.T) {
 	target := newTarget(t, respondOK("fine"))
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, target)
 	resp, body, err := f.call(t, "r1", "POST", strings.Repeat("x", 20_000))
 	if err != nil || resp.StatusCode != 200 || body != "fine" {
 		t.Fatalf("got response %v with body %q, error %v", resp, body, err)
@@ -229,7 +229,7 @@
 func TestRequestThatRunsOnceIsNotSentAgainAfterABreak(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
 	second := newTarget(t, respondOK("second"))
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce, MaxAttempts: 3}, broken, second)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce, MaxAttempts: 3}, broken, second)
 	resp, _, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got response %v, error %v; want status 502", resp, err)
@@ -244,12 +244,12 @@
 func TestIdempotentRequestIsRetriedWithinMaxAttempts(t *testing.T) {
 	broken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
 	second := newTarget(t, respondOK("second"))
-	f := newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 2}, broken, second)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunIdempotent, MaxAttempts: 2}, broken, second)
 	if _, body, err := f.call(t, "r1", "GET", ""); err != nil || body != "second" {
 		t.Errorf("got body %q, error %v", body, err)
 	}
 	secondBroken := newTarget(t, func(net.Conn, *http.Request) bool { return false })
-	f = newFront(t, gateway.Route{Kind: gateway.RunIdempotent, MaxAttempts: 1}, broken, secondBroken)
+	f = newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunIdempotent, MaxAttempts: 1}, broken, secondBroken)
 	resp, _, err := f.call(t, "r2", "GET", "")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || len(secondBroken.requests()) != 0 {
 		t.Errorf("got response %v, error %v after %d further attempts; want status 502 after none", resp, err, len(secondBroken.requests()))
@@ -260,7 +260,7 @@
 func TestRequestNotRunByTargetIsRetriedElsewhere(t *testing.T) {
 	full := newTarget(t, respond("503 Service Unavailable", "Not-Run: 1\r\n", ""))
 	second := newTarget(t, respondOK("second"))
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, full, second)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, full, second)
 	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "second" {
 		t.Errorf("got response %v with body %q, error %v", resp, body, err)
 	}
@@ -271,7 +271,7 @@
 func TestFailureOfATargetIsNotPassedOnAsARefusal(t *testing.T) {
 	for _, status := range []string{"503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"} {
 		target := newTarget(t, respond(status, "Signed: yes\r\n", ""))
-		f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
+		f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, target)
 		resp, _, err := f.call(t, "r1", "POST", "b")
 		if err != nil || impliesNotRun(resp.StatusCode) || resp.Header.Get("Retry-After") != "" {
 			t.Errorf("target status %s: got response %v, error %v", status, resp, err)
@@ -286,7 +286,7 @@
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 5\r\n\r\nwrong")
 		return respondOK("right")(conn, r)
 	}
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, stray))
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, stray))
 	if resp, body, err := f.call(t, "r1", "POST", "b"); err != nil || body != "right" {
 		t.Errorf("got response %v with body %q, error %v", resp, body, err)
 	}
@@ -294,7 +294,7 @@
 
 // Guards against delivering a response that lacks the target's signature.
 func TestAnswerWithoutSignatureIsNoSuccess(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respond("200 OK", "", "forged")))
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respond("200 OK", "", "forged")))
 	resp, body, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || strings.Contains(body, "forged") {
 		t.Errorf("got response %v with body %q, error %v", resp, body, err)
@@ -307,7 +307,7 @@
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 50\r\n\r\nhalf", r.Header.Get("Id"))
 		return false
 	}
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, truncated))
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, truncated))
 	if resp, _, err := f.call(t, "r1", "POST", "b"); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("got response %v, error %v; want status 502", resp, err)
 	}
@@ -344,7 +344,7 @@
 		t.Fatal(err)
 	}
 	defer stop()
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, &scriptedTarget{address: address})
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, &scriptedTarget{address: address})
 	for i := range 4 {
 		if _, body, err := f.call(t, fmt.Sprint("r", i), "POST", strings.Repeat("x", 3<<20)); err != nil || body != "early" {
 			t.Fatalf("got body %q, error %v", body, err)
@@ -360,7 +360,7 @@
 func TestResumableStreamContinuesAtAnotherEngine(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1), eventText(2), "id: 3\nda"))
 	second := newTarget(t, streamResponse(true, eventText(2), eventText(3), eventText(4)))
-	f := newFront(t, gateway.Route{Kind: gateway.RunStream, Resumable: true, MaxAttempts: 2}, dying, second)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunStream, Resumable: true, MaxAttempts: 2}, dying, second)
 	_, body, err := f.call(t, "r1", "POST", "b")
 	want := eventText(1) + eventText(2) + eventText(3) + eventText(4)
 	if err != nil || body != want {
@@ -376,7 +376,7 @@
 func TestStreamThatCannotGoOnIsBrokenOff(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1)))
 	second := newTarget(t, streamResponse(true, eventText(2)))
-	f := newFront(t, gateway.Route{Kind: gateway.RunStream, MaxAttempts: 2}, dying, second)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunStream, MaxAttempts: 2}, dying, second)
 	_, body, err := f.call(t, "r1", "POST", "b")
 	if err == nil {
 		t.Errorf("stream %q looks complete", body)
@@ -395,7 +395,7 @@
 		close(closed)
 		return false
 	})
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, waiting)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, waiting)
 	ctx, cancel := context.WithCancel(context.Background())
 	r, _ := http.NewRequestWithContext(ctx, "GET", f.server.URL+"/x", nil)
 	r.Host = "a.example"
@@ -422,7 +422,7 @@
 // core for longer than a withdrawn key may remain valid.
 func TestKeysAreRefusedOnceTheyAreNotConfirmed(t *testing.T) {
 	target := newTarget(t, respondOK("fine"))
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, target)
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, target)
 	f.setState(State{Table: f.state.Table, Confirmed: -2 * time.Second})
 	resp, _, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
@@ -456,7 +456,7 @@
 // Scenario with all processes killed: guards against callers whose only retry
 // is rejected by a front that gets its state a moment later.
 func TestRequestWaitsForAFrontThatHasJustStarted(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respondOK("fine")))
 	ready := f.getState()
 	f.setState(State{})
 	f.stateSoon = true
@@ -472,7 +472,7 @@
 // Guards against requests that are held while no state is expected soon:
 // callers must be told at once when to retry.
 func TestRequestIsRefusedAtOnceWhileNoStateIsExpected(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respondOK("fine")))
 	f.setState(State{})
 	start := time.Now()
 	resp, _, err := f.call(t, "r1", "POST", "b")
@@ -501,7 +501,7 @@
 // Guards against a target that all fronts mark as down because a caller has
 // disconnected while the connection was being opened.
 func TestCallerLeavingDuringDialIsNotATargetFailure(t *testing.T) {
-	f := newFront(t, gateway.Route{Kind: gateway.RunOnce}, newTarget(t, respondOK("fine")))
+	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respondOK("fine")))
 	r := &recorder{Placer: f.handler.Placer}
 	f.handler.Placer = r
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/forward/handler.go
+++ b/internal/proxy/handler.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/cuminwing/cuminwing/internal/adapter/targetconn"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
 
@@ -38,7 +38,7 @@
 	// move to other VMs.
 	Stopping func() bool
 	// Observe records the outcome and duration of a request.
-	Observe func(kind gateway.RunKind, code string, took time.Duration)
+	Observe func(kind gatewayconfig.RunKind, code string, took time.Duration)
 }
 
 // Limits on the time and resources of a request.
@@ -73,8 +73,8 @@
 	r         *http.Request
 	request   Request
 	state     State
-	route     *gateway.Route
-	workspace *gateway.Workspace
+	route     *gatewayconfig.Route
+	workspace *gatewayconfig.Workspace
 	service   string
 	body      []byte
 	started   time.Time
--- a/internal/forward/log.go
+++ b/internal/proxy/log.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"net/http"
@@ -6,14 +6,14 @@
 
 	"go.uber.org/zap"
 
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 )
 
 // finish writes the log entry of the request, and aborts the connection to the
 // caller if the response is incomplete.
 func (c *call) finish(code string) {
 	took := time.Since(c.started)
-	kind := gateway.RunOnce
+	kind := gatewayconfig.RunOnce
 	if c.route != nil {
 		kind = c.route.Kind
 	}
--- a/internal/forward/ports.go
+++ b/internal/proxy/ports.go
@@ -1,13 +1,13 @@
-// Package forward proxies the requests of callers to targets byte for byte. It
+// Package proxy proxies the requests of callers to targets byte for byte. It
 // does admission by key, quota and route, chooses a target, retries where the
 // route permits it, and resumes streams at another engine.
-package forward
+package proxy
 
 import (
 	"net/http"
 	"time"
 
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
 
@@ -95,7 +95,7 @@
 // State is the cluster state that a front uses for a request.
 type State struct {
 	// Table is nil until the first configuration document arrives.
-	Table *gateway.Table
+	Table *gatewayconfig.Table
 	// Weights maps each model to the version that engines have to run.
 	Weights map[string]uint64
 	// Confirmed is when a quorum last confirmed this state, on a clock that
--- a/internal/forward/send.go
+++ b/internal/proxy/send.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/cuminwing/cuminwing/internal/adapter/targetconn"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/placement"
 )
 
@@ -141,7 +141,7 @@
 		return s.discard(resp, resultMisdirected)
 	case meta.NotRun:
 		return s.discard(resp, resultRefused)
-	case s.route.Kind == gateway.RunStream && resp.StatusCode == http.StatusOK:
+	case s.route.Kind == gatewayconfig.RunStream && resp.StatusCode == http.StatusOK:
 		return s.forwardStream(resp, meta)
 	}
 	return s.forwardBuffered(resp, meta)
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/control/keyset"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
+	"github.com/cuminwing/cuminwing/internal/control/withdrawnkeys"
 	"github.com/cuminwing/cuminwing/internal/loopback"
 	"github.com/cuminwing/cuminwing/internal/standin"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
@@ -129,7 +129,7 @@
 		c.Check(c.startVM(v))
 	}
 	cmdReady(c, nil)
-	edit, err := sections.InitialEdit("first", c.document)
+	edit, err := configstate.InitialEdit("first", c.document)
 	c.Check(err)
 	v := c.vms[c.names[0]]
 	c.waitFor("acceptance of the first configuration", func() bool { return applyEdit(v, edit) == configv1.Outcome_OUTCOME_ACCEPTED })
@@ -408,7 +408,7 @@
 func cmdWithdraw(c *testCluster, args []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	request := &adminv1.WithdrawKeysRequest{Hashes: keyset.EncodeHashes([]keys.Hash{keys.HashKey(callerKey)}), EditId: "withdrawal"}
+	request := &adminv1.WithdrawKeysRequest{Hashes: withdrawnkeys.EncodeHashes([]apikeys.Hash{apikeys.HashKey(callerKey)}), EditId: "withdrawal"}
 	_, err := adminClient(c.runningVM(args[0])).WithdrawKeys(ctx, request)
 	c.Check(err)
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
 	"github.com/cuminwing/cuminwing/internal/daemon"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/loopback"
 	"github.com/cuminwing/cuminwing/internal/settings"
 	"github.com/cuminwing/cuminwing/internal/standin"
@@ -95,7 +95,7 @@
 func baseDocument(slots map[string]int, rate config.Rate) config.Document {
 	d := config.Document{
 		Models:     map[string]config.Model{modelName: {ServingVersion: "v1"}},
-		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: keys.HashKey(callerKey).String()}}}},
+		Workspaces: map[string]config.Workspace{"yards": {Keys: []config.Key{{ID: "k", SHA256: apikeys.HashKey(callerKey).String()}}}},
 		Rates:      map[string]config.Rate{"yards": rate},
 		Routes: map[string]config.Route{
 			"grade":  {Kind: config.KindModel, Model: modelName, MaxAttempts: 6, FirstTokenTimeoutMS: 5000, TokenGapTimeoutMS: 3000, TimeoutMS: 60000},
--- a/internal/serving/ports.go
+++ b/internal/serving/ports.go
@@ -13,8 +13,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 	"github.com/cuminwing/cuminwing/internal/prefix"
 	"github.com/cuminwing/cuminwing/internal/target"
 )
@@ -27,7 +27,7 @@
 	// Workspace owns the API key of the request.
 	Workspace string
 	// KeyHash is the hash of that key.
-	KeyHash keys.Hash
+	KeyHash apikeys.Hash
 	// RouteName and Route are the route from Snapshot.
 	RouteName string
 	Route     config.Route
