--- a/internal/adapter/boottime/boottime.go
+++ b/internal/adapter/boottime/boottime.go
@@ -1,6 +1,6 @@
 // Package boottime reads CLOCK_BOOTTIME, a monotonic clock that keeps running
-// while the machine is suspended. Leases that back a promise to other VMs are
-// measured with it, because the monotonic clock of the Go runtime stops during a
+// while the machine is suspended. Leases on which other VMs rely are measured
+// with it, because the monotonic clock of the Go runtime stops during a
 // suspension.
 package boottime
 
--- a/internal/adapter/disk/segments.go
+++ b/internal/adapter/disk/segments.go
@@ -64,7 +64,8 @@
 }
 
 // removeUnfinished removes a segment whose file header was not completely
-// written before a crash. No promise can depend on such a segment.
+// written before a crash. No vote or acknowledgement can depend on such a
+// segment.
 func (r *replayer) removeUnfinished(path string) error {
 	if err := os.Remove(path); err != nil {
 		return err
@@ -98,8 +99,7 @@
 // truncateTornTail truncates the last segment at a damaged record. A record torn
 // by a crash was never synced, so no later record follows it. If a later record
 // exists, synced data is damaged, and truncateTornTail returns a CorruptError:
-// starting without that data could break a promise, such as a vote or an
-// acknowledgement.
+// starting without that data could revoke a vote or an acknowledgement.
 func (r *replayer) truncateTornTail(path string, data []byte, offset int64, last bool) error {
 	if !last || containsLaterRecord(data[offset+1:], r.store.nextRecord) {
 		return &CorruptError{path, offset, "record is damaged"}
--- a/internal/adapter/replica/calls.go
+++ b/internal/adapter/replica/calls.go
@@ -30,11 +30,11 @@
 }
 
 type proposalResult struct {
-	answer []byte
-	err    error
+	response []byte
+	err      error
 }
 
-func (p *proposal) complete(answer []byte, err error) { p.done <- proposalResult{answer, err} }
+func (p *proposal) complete(response []byte, err error) { p.done <- proposalResult{response, err} }
 
 // indexWaiter waits until the entry at index is applied.
 type indexWaiter struct {
@@ -68,7 +68,7 @@
 	}
 	select {
 	case o := <-p.done:
-		return o.answer, o.err
+		return o.response, o.err
 	case <-ctx.Done():
 		return nil, cancelProposal(p, fmt.Errorf("%w: %w", control.ErrNotCommitted, ctx.Err()), ctx.Err())
 	case <-r.stopped:
@@ -76,7 +76,7 @@
 	// The replica may have completed the proposal just before it stopped.
 	select {
 	case o := <-p.done:
-		return o.answer, o.err
+		return o.response, o.err
 	default:
 		return nil, cancelProposal(p, ErrNotLeader, errStopped)
 	}
@@ -145,7 +145,7 @@
 
 // completeProposals completes the proposals at the index of a committed entry. A
 // proposal with another term at that index can never be committed.
-func (r *Replica) completeProposals(e raft.Entry, answer []byte, err error) {
+func (r *Replica) completeProposals(e raft.Entry, response []byte, err error) {
 	waiting, ok := r.pendingProposals[e.Index]
 	if !ok {
 		return
@@ -158,7 +158,7 @@
 		case err != nil:
 			p.complete(nil, fmt.Errorf("%w: %w", control.ErrUncertain, err))
 		default:
-			p.complete(answer, nil)
+			p.complete(response, nil)
 		}
 	}
 }
--- a/internal/adapter/replica/linear_test.go
+++ b/internal/adapter/replica/linear_test.go
@@ -96,11 +96,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	o := operation{value: value, start: time.Now()}
-	answer, err := log.Propose(ctx, control.KindClaims, protowire.AppendVarint(nil, value))
+	response, err := log.Propose(ctx, control.KindClaims, protowire.AppendVarint(nil, value))
 	o.end, o.err = time.Now(), err
 	if err == nil {
-		o.previous, answer = consumeNumber(answer)
-		o.index, _ = consumeNumber(answer)
+		o.previous, response = consumeNumber(response)
+		o.index, _ = consumeNumber(response)
 	}
 	return o
 }
--- a/internal/adapter/replica/log.go
+++ b/internal/adapter/replica/log.go
@@ -55,11 +55,11 @@
 
 // callResult is the result of one call to one replica.
 type callResult struct {
-	outcome raftv1.Outcome
-	answer  []byte
-	index   uint64
-	leader  *raftv1.Member
-	reason  string
+	outcome  raftv1.Outcome
+	response []byte
+	index    uint64
+	leader   *raftv1.Member
+	reason   string
 }
 
 // logCall makes one call to a replica through service, which is either a client
@@ -73,7 +73,7 @@
 		r, err := s.Propose(ctx, request)
 		return callResult{r.GetOutcome(), r.GetAnswer(), 0, r.GetLeader(), r.GetReason()}, err
 	})
-	return result.answer, err
+	return result.response, err
 }
 
 // ChangeMembers requests a membership change from the leader.
--- a/internal/adapter/replica/replica.go
+++ b/internal/adapter/replica/replica.go
@@ -319,14 +319,14 @@
 }
 
 func (r *Replica) applyEntry(e raft.Entry) {
-	var answer []byte
+	var response []byte
 	var err error
 	if e.Kind == raft.EntryCommand {
 		r.bytesSinceSnapshot += len(e.Data)
-		answer, err = r.machine.Apply(e.Index, e.Data)
+		response, err = r.machine.Apply(e.Index, e.Data)
 	}
 	r.appliedIndex = e.Index
-	r.completeProposals(e, answer, err)
+	r.completeProposals(e, response, err)
 }
 
 // maybeSnapshot starts a snapshot once the log has grown enough since the last
--- a/internal/adapter/replica/server.go
+++ b/internal/adapter/replica/server.go
@@ -30,8 +30,8 @@
 
 // Propose implements raftv1.LogService.
 func (s Server) Propose(ctx context.Context, request *raftv1.ProposeRequest) (*raftv1.ProposeResponse, error) {
-	answer, err := s.Replica.Propose(ctx, control.Kind(request.GetKind()), request.GetBody())
-	response := &raftv1.ProposeResponse{Outcome: outcomeOf(err), Answer: answer, Leader: s.leader()}
+	result, err := s.Replica.Propose(ctx, control.Kind(request.GetKind()), request.GetBody())
+	response := &raftv1.ProposeResponse{Outcome: outcomeOf(err), Answer: result, Leader: s.leader()}
 	if err != nil {
 		response.Reason = err.Error()
 	}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -39,7 +39,7 @@
 }
 
 // fetchSections returns the revision and the sections, by name, of the document
-// in force on the VM. Without arguments it fetches all sections.
+// active on the VM. Without arguments it fetches all sections.
 func (c *client) fetchSections(sections ...string) (uint64, map[config.Section]*configv1.Section, error) {
 	resp, err := callWithRetry(c, func(ctx context.Context, s adminv1.AdminService) (*adminv1.GetConfigResponse, error) {
 		return s.GetConfig(ctx, &adminv1.GetConfigRequest{Sections: sections})
@@ -58,14 +58,14 @@
 type sectionChange struct {
 	section config.Section
 	base    uint64
-	// current is the section in force, nil if there is none.
+	// current is the active section, nil if there is none.
 	current *configv1.Section
 	patch   []byte
 	from    config.RawSection
 	to      config.RawSection
 }
 
-// computeChanges compares a document file with the sections in force. It skips
+// computeChanges compares a document file with the active sections. It skips
 // sections that the operator has not edited since reading them, even if they
 // were changed on the server in the meantime.
 func computeChanges(f *config.DocumentFile, current map[config.Section]*configv1.Section) ([]sectionChange, error) {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -61,7 +61,7 @@
 	fmt.Fprintf(out, "key:    %s\nsha256: %s\n", key, apikeys.HashKey(key))
 }
 
-// addKey adds a key to a workspace of the document in force.
+// addKey adds a key to a workspace of the active document.
 func (c *client) addKey(workspace string, key config.Key, out, errOut io.Writer) (int, error) {
 	_, current, err := c.fetchSections(string(config.SectionWorkspaces))
 	if err != nil {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -96,7 +96,7 @@
 	caller := &loadgen.Caller{
 		Client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 		URLs:         cluster.callerURLs(),
-		ExpectedText: standin.ExpectedAnswer,
+		ExpectedText: standin.ExpectedResponse,
 	}
 	if err := cluster.waitReady(ctx); err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 	return &summary, nil
 }
 
-// profileEngines returns the options of a profile's stand-in engines. Block
+// profileEngines returns the options of a profile's simulated engines. Block
 // size and prefill speed are both a tenth of the real ones, which keeps their
 // ratio.
 func profileEngines(p *loadgen.Profile) []standin.EngineOptions {
--- a/internal/cli/local_cluster.go
+++ b/internal/cli/local_cluster.go
@@ -20,7 +20,7 @@
 // maxVoters is the maximum number of voters in a local cluster.
 const maxVoters = 3
 
-// localCluster runs VMs and stand-in engines on loopback inside this process.
+// localCluster runs VMs and simulated engines on loopback inside this process.
 // The voters store their data in a temporary folder.
 type localCluster struct {
 	folder   string
@@ -155,7 +155,7 @@
 // demoTokenInterval is the time between two tokens of a demo engine.
 const demoTokenInterval = 5 * time.Millisecond
 
-// startService starts one replica of a stand-in service that is not a model, in
+// startService starts one replica of a simulated service that is not a model, in
 // the zone of the first VM.
 func (c *localCluster) startService(name string) (*standin.Service, error) {
 	zone := c.settings[0].Zone
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -54,7 +54,7 @@
 	// ServingVersion is the weights version that requests run on.
 	ServingVersion string `json:"serving_version"`
 	// OrderedVersion is the weights version being rolled out; empty if there is
-	// no roll-out.
+	// no rollout.
 	OrderedVersion string `json:"ordered_version,omitempty"`
 	// Adapters lists the adapters that requests may name.
 	Adapters []string `json:"adapters,omitempty"`
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -290,7 +290,7 @@
 }
 
 // sortedNames returns the names in a fixed order, in which duplicates are then
-// found: every voter must give the same answer to an edit.
+// found: every voter must give the same response to an edit.
 func sortedNames[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/daemon/access_test.go
+++ b/internal/daemon/access_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := readAnswer(resp, func(int) {})
+		got := readResponse(resp, func(int) {})
 		if got.status != c.status || got.header.Get("Cuminwing-Run") != "not-run" {
 			t.Errorf("%s: status %d, run %q", c.desc, got.status, got.header.Get("Cuminwing-Run"))
 		}
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if models := readAnswer(list, func(int) {}); strings.Contains(models.body, testModel) {
+		if models := readResponse(list, func(int) {}); strings.Contains(models.body, testModel) {
 			t.Errorf("%s: the model is listed", c.desc)
 		}
 	}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -47,8 +47,8 @@
 // voter first.
 func (s adminServer) History(ctx context.Context, req *adminv1.HistoryRequest) (*adminv1.HistoryResponse, error) {
 	if !s.node.followsLog() && !req.GetForwarded() {
-		if answer, ok := s.historyFromVoter(ctx, req.GetLimit()); ok {
-			return answer, nil
+		if response, ok := s.historyFromVoter(ctx, req.GetLimit()); ok {
+			return response, nil
 		}
 	}
 	history := s.node.distribution.state.Load().History()
@@ -64,14 +64,14 @@
 }
 
 // historyFromVoter queries the voters, nearest first, and returns the first
-// answer.
+// response.
 func (s adminServer) historyFromVoter(ctx context.Context, limit uint32) (*adminv1.HistoryResponse, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	for _, p := range s.node.distribution.votersByDistance() {
-		answer, err := s.adminClient(p).History(ctx, &adminv1.HistoryRequest{Limit: limit, Forwarded: true})
+		response, err := s.adminClient(p).History(ctx, &adminv1.HistoryRequest{Limit: limit, Forwarded: true})
 		if err == nil {
-			return answer, true
+			return response, true
 		}
 	}
 	return nil, false
@@ -152,36 +152,36 @@
 func (s adminServer) collectVMStatus(ctx context.Context) []*adminv1.VM {
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
-	answers := make(chan *adminv1.VM, len(s.node.peers())+maxConcurrentCalls)
+	responses := make(chan *adminv1.VM, len(s.node.peers())+maxConcurrentCalls)
 	s.node.broadcast(ctx, func(ctx context.Context, p peer) {
 		client := statusv1.NewStatusServiceProtobufClient(s.node.peerURL(p.address), s.node.peerClient)
-		answer, err := client.Get(ctx, &statusv1.GetRequest{})
+		response, err := client.Get(ctx, &statusv1.GetRequest{})
 		if err != nil {
-			answer = nil
+			response = nil
 		}
-		answers <- vmStatus(p, answer)
+		responses <- vmStatus(p, response)
 	})
-	close(answers)
+	close(responses)
 	var vms []*adminv1.VM
-	for vm := range answers {
+	for vm := range responses {
 		vms = append(vms, vm)
 	}
 	return vms
 }
 
 // vmStatus combines the membership data of a VM with its status response, which
-// is nil if the VM did not answer.
-func vmStatus(p peer, answer *statusv1.GetResponse) *adminv1.VM {
+// is nil if the VM did not respond.
+func vmStatus(p peer, response *statusv1.GetResponse) *adminv1.VM {
 	vm := &adminv1.VM{Name: p.vm, Zone: p.zone, Region: p.region, Voter: p.voter, PeerAddress: p.address}
-	if answer == nil {
+	if response == nil {
 		return vm
 	}
 	vm.Reached = true
-	vm.Zone = answer.GetZone()
-	vm.Region = answer.GetRegion()
-	vm.Revision = answer.GetConfigRevision()
-	vm.KeyDigest = answer.GetKeyDigest()
-	vm.Leader = answer.GetLeader()
+	vm.Zone = response.GetZone()
+	vm.Region = response.GetRegion()
+	vm.Revision = response.GetConfigRevision()
+	vm.KeyDigest = response.GetKeyDigest()
+	vm.Leader = response.GetLeader()
 	return vm
 }
 
--- a/internal/daemon/broadcast.go
+++ b/internal/daemon/broadcast.go
@@ -9,7 +9,7 @@
 )
 
 // maxConcurrentCalls limits the concurrent calls of one broadcast. It exceeds
-// the 350 VMs of the design size, so that VMs that do not answer do not use up
+// the 350 VMs of the design size, so that VMs that do not respond do not use up
 // the time for the others.
 const maxConcurrentCalls = 512
 
@@ -121,7 +121,7 @@
 	group.Wait()
 }
 
-// pollPeers asks every other VM for a confirmation and counts the answers by
+// pollPeers asks every other VM for a confirmation and counts the responses by
 // zone. confirm returns the zone that the VM states, and whether it confirmed.
 func (n *Node) pollPeers(ctx context.Context, self bool, confirm func(ctx context.Context, p peer) (string, bool)) []*adminv1.ZoneReach {
 	tally := n.newTally()
--- a/internal/daemon/cachereader.go
+++ b/internal/daemon/cachereader.go
@@ -61,19 +61,19 @@
 
 func (c *cacheReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		answer, err := c.index.cache.Events(ctx, c.url, c.lastSequence)
+		response, err := c.index.cache.Events(ctx, c.url, c.lastSequence)
 		var status *serving.StatusError
 		if errors.As(err, &status) && status.Status == http.StatusNotFound {
 			// The target does not report cache events, so the index relies on
 			// predictions for it.
 			return
 		}
-		if err != nil || answer.Incarnation != c.ref.Incarnation {
+		if err != nil || response.Incarnation != c.ref.Incarnation {
 			c.reportGap(ctx)
 			sleep(ctx, eventRetryDelay)
 			continue
 		}
-		if !c.forward(ctx, answer) {
+		if !c.forward(ctx, response) {
 			c.lastSequence = 0
 			sleep(ctx, eventRetryDelay)
 			continue
@@ -84,30 +84,30 @@
 
 // forward passes the events to the owners. It returns false if the cache
 // contents must be read again as a snapshot.
-func (c *cacheReader) forward(ctx context.Context, answer targethttp.CacheEvents) bool {
-	if answer.Snapshot {
-		c.lastSequence = answer.LastSequence
+func (c *cacheReader) forward(ctx context.Context, response targethttp.CacheEvents) bool {
+	if response.Snapshot {
+		c.lastSequence = response.LastSequence
 		c.partitioner = prefix.NewEventPartitioner(c.ref, rand.Uint64(), c.index.peers.Load().owners)
-		return c.index.publish(ctx, c.partitioner.SnapshotBatches(answer.Events))
+		return c.index.publish(ctx, c.partitioner.SnapshotBatches(response.Events))
 	}
-	if c.partitioner == nil || !c.contiguous(answer) {
+	if c.partitioner == nil || !c.contiguous(response) {
 		c.reportGap(ctx)
 		return false
 	}
-	c.lastSequence = answer.LastSequence
-	return c.index.publish(ctx, c.partitioner.Partition(answer.Events))
+	c.lastSequence = response.LastSequence
+	return c.index.publish(ctx, c.partitioner.Partition(response.Events))
 }
 
 // contiguous reports whether the events follow lastSequence without a gap.
-func (c *cacheReader) contiguous(answer targethttp.CacheEvents) bool {
+func (c *cacheReader) contiguous(response targethttp.CacheEvents) bool {
 	next := c.lastSequence + 1
-	for _, e := range answer.Events {
+	for _, e := range response.Events {
 		if e.Sequence != next {
 			return false
 		}
 		next++
 	}
-	return answer.LastSequence+1 == next
+	return response.LastSequence+1 == next
 }
 
 // reportGap marks the entries of the target as uncertain at every owner, once
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -30,8 +30,8 @@
 	entries     [][]byte
 	machines    map[string]*control.CompositeStateMachine
 	partitioned map[string]bool
-	// lostAnswers is how many of the next answers are lost after the commit.
-	lostAnswers int
+	// lostResponses is how many of the next responses are lost after the commit.
+	lostResponses int
 }
 
 func newTestLog() *testLog {
@@ -74,19 +74,19 @@
 	}
 	command := control.EncodeCommand(kind, time.UnixMilli(0), body)
 	l.entries = append(l.entries, command)
-	var answer []byte
+	var response []byte
 	for _, m := range l.machines {
 		a, err := m.Apply(uint64(len(l.entries)), command)
 		if err != nil {
 			return nil, err
 		}
-		answer = a
+		response = a
 	}
-	if l.lostAnswers > 0 {
-		l.lostAnswers--
+	if l.lostResponses > 0 {
+		l.lostResponses--
 		return nil, control.ErrUncertain
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (v *vmLog) Barrier(context.Context) (uint64, error) {
--- a/internal/daemon/configedit.go
+++ b/internal/daemon/configedit.go
@@ -50,10 +50,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	answer, err := n.log.Propose(ctx, kind, body)
+	response, err := n.log.Propose(ctx, kind, body)
 	switch {
 	case err == nil:
-		return answer, nil
+		return response, nil
 	case errors.Is(err, control.ErrNotCommitted):
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	default:
@@ -74,12 +74,12 @@
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("edit", err.Error())
 	}
-	answer, err := d.node.propose(ctx, control.KindConfig, body)
+	encoded, err := d.node.propose(ctx, control.KindConfig, body)
 	if err != nil {
 		return nil, err
 	}
 	var result configv1.EditResult
-	if err := proto.Unmarshal(answer, &result); err != nil {
+	if err := proto.Unmarshal(encoded, &result); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	response := &adminv1.ApplyConfigResponse{Result: &result}
@@ -140,7 +140,7 @@
 // revision became active there within wait.
 func (d *distribution) notify(ctx context.Context, p peer, h hint, wait time.Duration) (zone string, active bool) {
 	client := configv1.NewConfigServiceProtobufClient(d.node.peerURL(p.address), d.node.peerClient)
-	answer, err := client.Notify(ctx, &configv1.NotifyRequest{
+	response, err := client.Notify(ctx, &configv1.NotifyRequest{
 		Revision: h.revision,
 		Address:  h.address,
 		WaitMs:   uint64(wait.Milliseconds()),
@@ -149,7 +149,7 @@
 		d.node.logger.Debug("notify failed", zap.String("vm", p.vm), zap.Error(err))
 		return "", false
 	}
-	return answer.GetZone(), answer.GetRevision() >= h.revision
+	return response.GetZone(), response.GetRevision() >= h.revision
 }
 
 // notifyAsLeader notifies the other VMs of new revisions while this VM is the
@@ -254,12 +254,12 @@
 	if err != nil {
 		return false
 	}
-	answer, err := d.node.propose(ctx, control.KindConfig, body)
+	response, err := d.node.propose(ctx, control.KindConfig, body)
 	if err != nil {
 		return false
 	}
 	var result configv1.EditResult
-	if err := proto.Unmarshal(answer, &result); err != nil {
+	if err := proto.Unmarshal(response, &result); err != nil {
 		return false
 	}
 	d.node.logger.Info("proposed the document file of the settings", zap.String("outcome", result.GetOutcome().String()))
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -168,7 +168,7 @@
 }
 
 // loadFile activates the configuration of the state file, so that a restarted
-// VM serves at once even if no voter answers.
+// VM serves at once even if no voter responds.
 func (d *distribution) loadFile() {
 	if d.node.settings.DataFolder == "" {
 		return
--- a/internal/daemon/distribution_pull.go
+++ b/internal/daemon/distribution_pull.go
@@ -86,10 +86,10 @@
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	ctx, cancel := context.WithCancel(ctx)
-	// Deferred after calls.Wait, so it runs first: sources that do not answer do
-	// not delay the return.
+	// Deferred after calls.Wait, so it runs first: sources that do not respond
+	// do not delay the return.
 	defer cancel()
-	answered := make(chan struct{}, maxPullSources)
+	responded := make(chan struct{}, maxPullSources)
 	for _, address := range d.pullSources(h.address) {
 		calls.Go(func() {
 			request := &configv1.PullRequest{Since: d.revision()}
@@ -99,10 +99,10 @@
 			if _, err := d.pullFrom(ctx, address, request); err != nil {
 				d.node.logger.Debug("pull failed", zap.String("peer", address), zap.Error(err))
 			}
-			answered <- struct{}{}
+			responded <- struct{}{}
 		})
 		select {
-		case <-answered:
+		case <-responded:
 		case <-time.After(pullStagger):
 		}
 		if d.revision() >= h.revision {
@@ -145,28 +145,28 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	client := configv1.NewConfigServiceProtobufClient(d.node.peerURL(address), d.node.peerClient)
-	answer, err := client.Pull(ctx, request)
+	response, err := client.Pull(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	if d.revision() == 0 && answer.GetKeyDigest() != d.node.withdrawn.Digest() {
+	if d.revision() == 0 && response.GetKeyDigest() != d.node.withdrawn.Digest() {
 		// The configuration may list withdrawn keys. A VM without a disk must
 		// know the withdrawals before it serves.
 		if err := d.node.withdrawals.sync(ctx, peer{address: address}); err != nil {
 			return nil, err
 		}
 	}
-	err = d.applyPull(answer)
+	err = d.applyPull(response)
 	var gap *configstate.GapError
 	if errors.As(err, &gap) && request.GetSince() > 0 {
 		return d.pullFrom(ctx, address, &configv1.PullRequest{})
 	}
-	return answer, err
+	return response, err
 }
 
-func (d *distribution) applyPull(answer *configv1.PullResponse) error {
-	if answer.GetDocument() != nil {
-		state, err := configstate.DecodeDocument(answer.GetDocument())
+func (d *distribution) applyPull(response *configv1.PullResponse) error {
+	if response.GetDocument() != nil {
+		state, err := configstate.DecodeDocument(response.GetDocument())
 		if err != nil {
 			return err
 		}
@@ -174,7 +174,7 @@
 		return nil
 	}
 	state := d.state.Load()
-	for _, change := range answer.GetChanges() {
+	for _, change := range response.GetChanges() {
 		if change.GetRevision() <= state.Revision {
 			// A concurrent pull has already applied this change.
 			continue
@@ -200,24 +200,24 @@
 		cancel()
 	}
 	state := s.d.state.Load()
-	answer := &configv1.PullResponse{
+	response := &configv1.PullResponse{
 		Revision:  state.Revision,
 		KeyDigest: s.d.node.withdrawn.Digest(),
 	}
 	if age, ok := s.d.contact.age(s.d.node.clock()); ok {
-		answer.HadControlContact = true
-		answer.ControlContactAgeMs = uint64(age.Milliseconds())
+		response.HadControlContact = true
+		response.ControlContactAgeMs = uint64(age.Milliseconds())
 	}
 	if state.Revision <= req.GetSince() {
-		return answer, nil
+		return response, nil
 	}
 	changes, covered := state.Since(req.GetSince())
 	if covered && req.GetSince() > 0 && len(changes) <= maxPullChanges {
-		answer.Changes = changes
+		response.Changes = changes
 	} else {
-		answer.Document = state.EncodeDocument()
+		response.Document = state.EncodeDocument()
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Notify implements configv1.ConfigService.
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -55,7 +55,7 @@
 	await(t, "isolated VM catches up", func() bool { return isolated.Snapshot().Revision == revision })
 }
 
-// Guards against a resent edit that is applied twice after a lost answer, and
+// Guards against a resent edit that is applied twice after a lost response, and
 // against two concurrent edits of the same section that are both accepted.
 func TestRacingAndResentEdits(t *testing.T) {
 	c := newTestCluster(t, 2, 2)
@@ -63,7 +63,7 @@
 	b := c.start(1, "muc-a", nil)
 	base := requireAccepted(t, applyFirst(t, a, clusterDocument("")))
 	c.log.mu.Lock()
-	c.log.lostAnswers = 1
+	c.log.lostResponses = 1
 	c.log.mu.Unlock()
 	edit := rateEdit("lost", base, 20)
 	if _, err := adminClientOf(a).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit}); err == nil {
@@ -95,7 +95,7 @@
 }
 
 // Guards against a VM with a data folder that cannot serve until a voter
-// answers, and against serving a corrupt state file.
+// responds, and against serving a corrupt state file.
 func TestStartWhileNoVoterAnswers(t *testing.T) {
 	c := newTestCluster(t, 2, 1)
 	voter := c.start(0, "muc-a", nil)
--- a/internal/daemon/e2e_test.go
+++ b/internal/daemon/e2e_test.go
@@ -16,8 +16,8 @@
 func TestClientLibraryStreamsThroughCrash(t *testing.T) {
 	vms := startVMs(t, testDocument(), "muc-a", "muc-b", "muc-a")
 	engines := []*standin.Engine{startEngine(t, "e1", false, vms...), startEngine(t, "e2", true, vms...), startEngine(t, "e3", false, vms...)}
-	// The answer of a stand-in engine depends on the bytes of the prompt, so
-	// that only requests of the same client library get the same answer.
+	// The response of a simulated engine depends on the bytes of the prompt, so
+	// that only requests of the same client library get the same response.
 	want, _ := clientStream(t, vms[0], func(int) {})
 	const streamsPerVM = 4
 	var wg sync.WaitGroup
@@ -48,7 +48,7 @@
 	})
 }
 
-// clientStream streams one answer with the client library and calls each for
+// clientStream streams one response with the client library and calls each for
 // every chunk.
 func clientStream(t *testing.T, vm *testVM, each func(n int)) (text string, usage int64) {
 	client := openai.NewClient(option.WithBaseURL(vm.base+"/v1"), option.WithAPIKey(testKey), option.WithMaxRetries(0))
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -179,10 +179,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return readAnswer(resp, each)
+	return readResponse(resp, each)
 }
 
-func readAnswer(resp *http.Response, each func(n int)) answer {
+func readResponse(resp *http.Response, each func(n int)) answer {
 	defer resp.Body.Close()
 	a := answer{status: resp.StatusCode, header: resp.Header}
 	if resp.Header.Get("Content-Type") != "text/event-stream" {
--- a/internal/daemon/indexrpc.go
+++ b/internal/daemon/indexrpc.go
@@ -21,7 +21,7 @@
 	// same prefix has been placed. It leaves time for the round trip within
 	// lookupTimeout.
 	coalesceWait = 3 * time.Millisecond
-	// peerRetryDelay is how long lookups skip an owner that did not answer.
+	// peerRetryDelay is how long lookups skip an owner that did not respond.
 	peerRetryDelay = 500 * time.Millisecond
 	// publishTimeout limits one publication of cache events. A failed
 	// publication causes a resync.
@@ -118,13 +118,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.lookupTimeout)
 	defer cancel()
-	answer, err := peer.client.Lookup(ctx, &indexv1.LookupRequest{Blocks: encodeHashes(chain)})
+	response, err := peer.client.Lookup(ctx, &indexv1.LookupRequest{Blocks: encodeHashes(chain)})
 	if err != nil {
 		peer.retryAt.Store(now.Add(peerRetryDelay).UnixNano())
 		return nil, false
 	}
-	holdings := make([]prefix.Holding, 0, len(answer.Holdings))
-	for _, h := range answer.Holdings {
+	holdings := make([]prefix.Holding, 0, len(response.Holdings))
+	for _, h := range response.Holdings {
 		holdings = append(holdings, prefix.Holding{Ref: decodeRef(h.Target), Blocks: int(h.Blocks)})
 	}
 	return holdings, true
@@ -177,8 +177,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	answer, err := peer.client.Publish(ctx, req)
-	return err == nil && len(answer.Resync) == 0
+	response, err := peer.client.Publish(ctx, req)
+	return err == nil && len(response.Resync) == 0
 }
 
 // indexServer implements indexv1.IndexService for one VM.
@@ -186,17 +186,17 @@
 
 // Publish implements indexv1.IndexService.
 func (s indexServer) Publish(_ context.Context, req *indexv1.PublishRequest) (*indexv1.PublishResponse, error) {
-	answer := &indexv1.PublishResponse{}
+	response := &indexv1.PublishResponse{}
 	for _, b := range req.Batches {
 		if s.index.local.Apply(decodeBatch(b)) {
-			answer.Resync = append(answer.Resync, b.Target.GetId())
+			response.Resync = append(response.Resync, b.Target.GetId())
 		}
 	}
 	for _, d := range req.Dispatches {
 		s.applyDispatch(d)
 	}
 	s.applyLoads(req.Loads)
-	return answer, nil
+	return response, nil
 }
 
 // applyDispatch adds the dispatch of another VM to the load estimate and, for
@@ -232,13 +232,13 @@
 
 // Lookup implements indexv1.IndexService.
 func (s indexServer) Lookup(ctx context.Context, req *indexv1.LookupRequest) (*indexv1.LookupResponse, error) {
-	answer := &indexv1.LookupResponse{}
+	response := &indexv1.LookupResponse{}
 	chain := decodeHashes(req.Blocks)
 	s.index.coalesce(ctx, chain)
 	for _, h := range s.index.local.Lookup(nil, chain) {
-		answer.Holdings = append(answer.Holdings, &indexv1.Holding{Target: encodeRef(h.Ref), Blocks: uint32(h.Blocks)})
+		response.Holdings = append(response.Holdings, &indexv1.Holding{Target: encodeRef(h.Ref), Blocks: uint32(h.Blocks)})
 	}
-	return answer, nil
+	return response, nil
 }
 
 func encodeRef(ref target.Ref) *indexv1.Target {
--- a/internal/daemon/keylease.go
+++ b/internal/daemon/keylease.go
@@ -161,20 +161,20 @@
 // duration of the call counts toward the age.
 func (d *distribution) refreshFromPeer(ctx context.Context, p peer) (time.Duration, bool) {
 	asked := d.node.clock()
-	answer, err := d.pullFrom(ctx, p.address, &configv1.PullRequest{Since: d.revision()})
+	response, err := d.pullFrom(ctx, p.address, &configv1.PullRequest{Since: d.revision()})
 	if err != nil {
 		d.node.logger.Debug("pull from peer failed", zap.String("vm", p.vm), zap.Error(err))
 		return 0, false
 	}
-	if answer.GetKeyDigest() != d.node.withdrawn.Digest() {
+	if response.GetKeyDigest() != d.node.withdrawn.Digest() {
 		if err := d.node.withdrawals.sync(ctx, p); err != nil {
 			return 0, false
 		}
 	}
-	if !answer.GetHadControlContact() {
+	if !response.GetHadControlContact() {
 		return 0, false
 	}
-	age := time.Duration(answer.GetControlContactAgeMs()) * time.Millisecond
+	age := time.Duration(response.GetControlContactAgeMs()) * time.Millisecond
 	d.contact.record(asked.Add(-age))
 	return age, true
 }
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -132,7 +132,7 @@
 }
 
 // Report implements burnv1.BurnService. It merges the counters of all live VMs
-// and lists the VMs that did not answer.
+// and lists the VMs that did not respond.
 func (o *observer) Report(ctx context.Context, _ *burnv1.ReportRequest) (*burnv1.ReportResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -100,45 +100,45 @@
 		o.dropLease()
 	}
 	request := &ordersv1.Acquire{Vm: o.node.settings.VM, Incarnation: o.node.incarnation, Fence: o.lease.FencingToken}
-	answer, err := o.propose(ctx, &ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: request}})
+	response, err := o.propose(ctx, &ordersv1.Command{Kind: &ordersv1.Command_Acquire{Acquire: request}})
 	if err != nil {
 		return err
 	}
-	if !answer.GetAccepted() {
+	if !response.GetAccepted() {
 		o.dropLease()
-		return fmt.Errorf("another VM holds the order lease with fencing token %d", answer.GetFence())
+		return fmt.Errorf("another VM holds the order lease with fencing token %d", response.GetFence())
 	}
 	o.leaseRenewed = sent
 	if o.lease.FencingToken != 0 {
 		o.lease.Renew(sent)
 		return nil
 	}
-	o.lease = orders.NewLease(answer.GetFence(), sent, o.node.clock())
-	o.node.logger.Info("order lease taken", zap.Uint64("fence", answer.GetFence()))
+	o.lease = orders.NewLease(response.GetFence(), sent, o.node.clock())
+	o.node.logger.Info("order lease taken", zap.Uint64("fence", response.GetFence()))
 	return nil
 }
 
 // commitPlan commits the plan to the log before any order is sent.
 func (o *orderDispatcher) commitPlan(ctx context.Context, plan orders.Plan) error {
-	fence := o.lease.FencingToken
+	fencingToken := o.lease.FencingToken
 	var commands []*ordersv1.Command
 	if len(plan.Done) > 0 {
-		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Done, Done: true}}})
+		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fencingToken, Ids: plan.Done, Done: true}}})
 	}
 	if len(plan.Failed) > 0 {
-		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fence, Ids: plan.Failed}}})
+		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Close{Close: &ordersv1.Close{Fence: fencingToken, Ids: plan.Failed}}})
 	}
 	if len(plan.Issue) > 0 {
-		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Issue{Issue: &ordersv1.Issue{Fence: fence, Orders: plan.Issue}}})
+		commands = append(commands, &ordersv1.Command{Kind: &ordersv1.Command_Issue{Issue: &ordersv1.Issue{Fence: fencingToken, Orders: plan.Issue}}})
 	}
 	for _, c := range commands {
-		answer, err := o.propose(ctx, c)
+		response, err := o.propose(ctx, c)
 		if err != nil {
 			return err
 		}
-		if !answer.GetAccepted() {
+		if !response.GetAccepted() {
 			o.dropLease()
-			return fmt.Errorf("fencing token %d is stale", fence)
+			return fmt.Errorf("fencing token %d is stale", fencingToken)
 		}
 	}
 	o.logPlan(plan)
@@ -217,9 +217,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var answer ordersv1.Answer
-	if err := proto.Unmarshal(data, &answer); err != nil {
-		return nil, fmt.Errorf("decode answer to order command: %w", err)
+	var response ordersv1.Answer
+	if err := proto.Unmarshal(data, &response); err != nil {
+		return nil, fmt.Errorf("decode response to order command: %w", err)
 	}
-	return &answer, nil
+	return &response, nil
 }
--- a/internal/daemon/services_test.go
+++ b/internal/daemon/services_test.go
@@ -220,20 +220,20 @@
 	}
 }
 
-// Guards against orders that are executed again after a resend, a lost answer
+// Guards against orders that are executed again after a resend, a lost response
 // or a lost connection, and against responses that misreport whether the order
 // ran.
 func TestOrdersRunAtMostOnce(t *testing.T) {
 	vms := startVMs(t, testDocument(), "muc-a", "muc-b", "muc-a")
 	service := startService(t, "orders", "o1", vms...)
 	order := func(vm *testVM, key, body string) (int, string, string) {
-		status, header, answer := call(t, "POST", vm.base+"/orders/buy", testKey, body, "Idempotency-Key", key)
-		return status, header.Get("Cuminwing-Run"), answer
+		status, header, response := call(t, "POST", vm.base+"/orders/buy", testKey, body, "Idempotency-Key", key)
+		return status, header.Get("Cuminwing-Run"), response
 	}
 	await(t, "control log is available", func() bool { status, _, _ := order(vms[0], "warm-up", "x"); return status == 200 })
 	for i, vm := range vms {
-		if status, _, answer := order(vm, "k1", "two oak"); status != 200 || answer != "two oak" || service.Executions("k1") != 1 {
-			t.Errorf("resend %d: status %d, answer %q after %d executions", i, status, answer, service.Executions("k1"))
+		if status, _, response := order(vm, "k1", "two oak"); status != 200 || response != "two oak" || service.Executions("k1") != 1 {
+			t.Errorf("resend %d: status %d, answer %q after %d executions", i, status, response, service.Executions("k1"))
 		}
 	}
 	if status, run, _ := order(vms[1], "k1", "three oak"); status != 422 || run != "not-run" {
@@ -289,7 +289,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return readAnswer(resp, nil)
+		return readResponse(resp, nil)
 	}
 	await(t, "control log is available", func() bool { return grading(vms[0], "warm-up", true).complete() })
 	for _, stream := range []bool{true, false} {
--- a/internal/daemon/streams_test.go
+++ b/internal/daemon/streams_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against lost, duplicated or foreign tokens when an engine fails during
-// a response: the caller must receive the answer that a healthy engine gives.
+// a response: the caller must receive the response that a healthy engine gives.
 func TestStreamsSurviveEngineFaults(t *testing.T) {
 	faults := map[string]standin.EngineFaults{
 		"cut":            {CloseAfterTokens: 10, MaxRequests: 1},
@@ -148,7 +148,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		readAnswer(resp, func(int) { cancel() })
+		readResponse(resp, func(int) { cancel() })
 		await(t, "cancelled request", func() bool { return engine.CancelledCount() == 1 && engine.InFlight() == 0 })
 	}
 }
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	answer, err := s.node.log.Propose(ctx, control.KindUsage, body)
+	response, err := s.node.log.Propose(ctx, control.KindUsage, body)
 	if errors.Is(err, control.ErrNotCommitted) || errors.Is(err, control.ErrUncertain) {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
@@ -83,7 +83,7 @@
 		return nil, twirp.InternalErrorWith(err)
 	}
 	var totals usagev1.Totals
-	if err := proto.Unmarshal(answer, &totals); err != nil {
+	if err := proto.Unmarshal(response, &totals); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	return &totals, nil
--- a/internal/daemon/withdrawals.go
+++ b/internal/daemon/withdrawals.go
@@ -156,11 +156,11 @@
 func (w *withdrawals) push(ctx context.Context, self bool, hashes []apikeys.Hash) []*adminv1.ZoneReach {
 	request := &keysv1.PushRequest{Hashes: withdrawnkeys.EncodeHashes(hashes)}
 	return w.node.pollPeers(ctx, self, func(ctx context.Context, p peer) (string, bool) {
-		answer, err := w.client(p).Push(ctx, request)
+		response, err := w.client(p).Push(ctx, request)
 		if err != nil {
 			w.node.logger.Debug("push of withdrawn keys failed", zap.String("vm", p.vm), zap.Error(err))
 		}
-		return answer.GetZone(), err == nil
+		return response.GetZone(), err == nil
 	})
 }
 
@@ -243,15 +243,15 @@
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	digests := w.node.withdrawn.BucketDigests()
-	answer, err := w.client(p).Sync(ctx, &keysv1.SyncRequest{Digests: digests[:]})
+	response, err := w.client(p).Sync(ctx, &keysv1.SyncRequest{Digests: digests[:]})
 	if err != nil {
 		return err
 	}
-	theirs, err := withdrawnkeys.DecodeHashes(answer.GetHashes())
+	theirs, err := withdrawnkeys.DecodeHashes(response.GetHashes())
 	if err != nil {
 		return err
 	}
-	missing := missingFrom(theirs, w.node.withdrawn.InBuckets(answer.GetDiffering()))
+	missing := missingFrom(theirs, w.node.withdrawn.InBuckets(response.GetDiffering()))
 	if err := w.add(theirs); err != nil {
 		return err
 	}
--- a/internal/edge/corestores.go
+++ b/internal/edge/corestores.go
@@ -100,7 +100,7 @@
 	}
 	document, err := c.decode(stored.Raw)
 	if err != nil {
-		c.logger.Error("decoding the document in force failed", zap.Uint64("version", stored.Version), zap.Error(err))
+		c.logger.Error("decoding the active document failed", zap.Uint64("version", stored.Version), zap.Error(err))
 		return h.addresses
 	}
 	var addresses []string
--- a/internal/edge/corestores_test.go
+++ b/internal/edge/corestores_test.go
@@ -46,8 +46,8 @@
 		return core.PutDocument(context.Background(), documentWithStores(1, store))
 	})
 	unreachable := func(known []string) ([]string, error) {
-		response, err := core.serveSync(context.Background(), 0, fleetsync.Request{VM: "f", DocumentVersion: 1, StoresLost: known})
-		return response.StoresLost, err
+		response, err := core.serveSync(context.Background(), 0, fleetsync.Request{VM: "f", DocumentVersion: 1, UnreachableStores: known})
+		return response.UnreachableStores, err
 	}
 	if got, err := unreachable(nil); err != nil || len(got) != 0 {
 		t.Fatalf("unreachable stores are %v, want none: %v", got, err)
@@ -95,7 +95,7 @@
 	s := Settings{VM: "f", Region: "r", Regions: map[string]string{"z": "r"}, Guarantees: testGuarantees()}
 	f := newFront(s, FrontOptions{Logger: zap.NewNop(), Decode: decodeJSON})
 	f.applyResponse(time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, RawDocument: documentWithStores(1, "10.0.0.1:1", "10.0.0.2:1")})
-	f.applyResponse(2*time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, StoresLost: []string{"10.0.0.1:1"}})
+	f.applyResponse(2*time.Second, fleetsync.Response{IsLeader: true, DocumentVersion: 1, UnreachableStores: []string{"10.0.0.1:1"}})
 	table := f.state.Load().Table
 	if list := f.reachableStores(table); len(list) != 1 || list[0].Address != "10.0.0.2:1" {
 		t.Errorf("stores in use are %v", list)
--- a/internal/edge/coresync.go
+++ b/internal/edge/coresync.go
@@ -105,7 +105,7 @@
 	for {
 		changed := c.changeSignal()
 		outdated := c.document.Current().Version > request.DocumentVersion || c.registry.Current().Revision > request.Revision ||
-			!slices.Equal(c.storeHealth.unreachable(), request.StoresLost)
+			!slices.Equal(c.storeHealth.unreachable(), request.UnreachableStores)
 		if _, leading := c.leadership(); outdated || !leading {
 			return
 		}
@@ -124,7 +124,7 @@
 // addChanges adds to a response what has changed since the state that the front
 // has.
 func (c *Core) addChanges(response *fleetsync.Response, request fleetsync.Request) {
-	response.StoresLost = c.storeHealth.unreachable()
+	response.UnreachableStores = c.storeHealth.unreachable()
 	if stored := c.document.Current(); stored.Version > request.DocumentVersion {
 		response.DocumentVersion = stored.Version
 		response.RawDocument = stored.Raw
--- a/internal/edge/coreweights.go
+++ b/internal/edge/coreweights.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// weightsUpdateInterval is the time between two rounds of the roll-out while
+	// weightsUpdateInterval is the time between two rounds of the rollout while
 	// an update is in progress.
 	weightsUpdateInterval = 50 * time.Millisecond
 	// weightsIdleInterval is that time while all engines run the required
@@ -41,7 +41,7 @@
 	}
 }
 
-// weightsUpdater executes the actions of the roll-out planner.
+// weightsUpdater executes the actions of the rollout planner.
 type weightsUpdater struct {
 	core    *Core
 	mu      sync.Mutex
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -37,7 +37,7 @@
 	initialStateTimeout = 3 * time.Second
 	coreRecoveryTimeout = time.Second
 	// initialSyncWait limits how long a starting front waits for the state
-	// before it accepts connections. Without the state, clients are told to
+	// before it accepts connections. Without the state, callers are told to
 	// retry.
 	initialSyncWait = 400 * time.Millisecond
 	// drainDelay is the time from failing the readiness check to closing the
@@ -55,11 +55,11 @@
 	// defaultMaxHeaderBytes limits the headers of a request if the document
 	// sets no limit.
 	defaultMaxHeaderBytes = 64 << 10
-	// idleTimeoutMargin is added to the idle timeout of client connections. It
+	// idleTimeoutMargin is added to the idle timeout of caller connections. It
 	// avoids the race between a new request and the close of an idle
 	// connection.
 	idleTimeoutMargin = 2 * time.Second
-	// defaultIdleTimeout is the idle timeout of client connections if the
+	// defaultIdleTimeout is the idle timeout of caller connections if the
 	// document sets none.
 	defaultIdleTimeout = 15 * time.Second
 	// defaultHeaderTimeout limits the time to read the headers of a request if
@@ -67,7 +67,7 @@
 	defaultHeaderTimeout = 3 * time.Second
 )
 
-// Front is a front process: it accepts requests from clients and forwards them
+// Front is a front process: it accepts requests from callers and forwards them
 // to targets.
 type Front struct {
 	settings Settings
@@ -215,8 +215,8 @@
 	return !f.stopping.Load() && state.Table != nil && boottime.Now()-state.Confirmed < maxReadyStateAge
 }
 
-// serve accepts client connections until ctx is done. It then fails the readiness
-// check and drains the requests in flight.
+// serve accepts caller connections until ctx is done. It then fails the
+// readiness check and drains the requests in flight.
 func (f *Front) serve(ctx context.Context, listener net.Listener) {
 	select {
 	case <-f.synced:
@@ -238,8 +238,8 @@
 	}
 }
 
-// newServer returns the HTTP server for clients, with the limits of the document
-// in force at the start.
+// newServer returns the HTTP server for callers, with the limits of the document
+// active at the start.
 func (f *Front) newServer() *http.Server {
 	server := &http.Server{
 		Handler: f.handler, MaxHeaderBytes: defaultMaxHeaderBytes,
--- a/internal/edge/frontsync.go
+++ b/internal/edge/frontsync.go
@@ -73,7 +73,7 @@
 	state := f.state.Load()
 	request := fleetsync.Request{
 		VM: f.settings.VM, Incarnation: f.incarnation, Revision: f.registry.Revision,
-		NoWait: state.Table != nil && !f.sharesReceived.Load(), Address: f.settings.selfPeerAddress(), Region: f.settings.Region, FrontsVersion: f.peers.version(), StoresLost: f.unreachableStores,
+		NoWait: state.Table != nil && !f.sharesReceived.Load(), Address: f.settings.selfPeerAddress(), Region: f.settings.Region, FrontsVersion: f.peers.version(), UnreachableStores: f.unreachableStores,
 	}
 	if state.Table != nil {
 		request.DocumentVersion = state.Table.Document.Version
@@ -103,7 +103,7 @@
 	next.FrontCount = response.FrontCount
 	table, err := f.tableFor(next.Table, response)
 	if err != nil {
-		// The document that cannot be decoded is not in force, so the state must
+		// The document that cannot be decoded is not active, so the state must
 		// not count as confirmed.
 		f.logger.Error("decoding the document from the core failed", zap.Uint64("version", response.DocumentVersion), zap.Error(err))
 		return
@@ -117,8 +117,8 @@
 	// leader's delay to the send time gives a lower bound of its start.
 	next.Confirmed = max(next.Confirmed, sentAt+time.Duration(response.ConfirmedAfterMS*float64(time.Millisecond)))
 	f.peers.update(response.Fronts, response.FrontsVersion)
-	if !slices.Equal(response.StoresLost, f.unreachableStores) {
-		f.unreachableStores = response.StoresLost
+	if !slices.Equal(response.UnreachableStores, f.unreachableStores) {
+		f.unreachableStores = response.UnreachableStores
 		f.logger.Info("unreachable stores changed", zap.Strings("lost", f.unreachableStores))
 		f.placer.UpdateStores(f.reachableStores(next.Table))
 	}
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -1,7 +1,7 @@
 // Package edge assembles the two kinds of process of a deployment. Fronts forward
 // requests byte for byte. The core is a Raft group that holds the state of the
 // fronts. A front stores nothing on disk; it follows the leader of the core. The
-// protocols with clients, targets and operators are supplied by the importer, in
+// protocols with callers, targets and operators are supplied by the importer, in
 // CoreOptions and FrontOptions.
 package edge
 
@@ -24,7 +24,7 @@
 	Regions map[string]string
 	// IP is the address of the VM.
 	IP string
-	// FrontAddress is the listen address for clients, ReadyAddress that for the
+	// FrontAddress is the listen address for callers, ReadyAddress that for the
 	// load balancer's readiness checks.
 	FrontAddress string
 	ReadyAddress string
--- a/internal/enginemodel/workload.go
+++ b/internal/enginemodel/workload.go
@@ -32,7 +32,7 @@
 	// Burst is the fraction of arrivals that consist of 3 to 6 simultaneous
 	// requests for one document.
 	Burst float64
-	// OutputTokens is the mean length of an answer.
+	// OutputTokens is the mean length of a response.
 	OutputTokens int
 }
 
--- a/internal/fleetsync/message.go
+++ b/internal/fleetsync/message.go
@@ -36,9 +36,9 @@
 	Region  string `json:"region"`
 	// FrontsVersion is the version of the front's list of peers.
 	FrontsVersion uint64 `json:"fronts,omitempty"`
-	// StoresLost are the addresses of the stores that the front holds to be
+	// UnreachableStores are the addresses of the stores that the front holds to be
 	// unreachable.
-	StoresLost []string `json:"stores_lost,omitempty"`
+	UnreachableStores []string `json:"stores_lost,omitempty"`
 }
 
 // Response is the response of the leader, or of another core member, which only
@@ -62,15 +62,15 @@
 	Fleet *fleet.Delta `json:"fleet,omitempty"`
 	// Shares are the front's shares of the workspace rates.
 	Shares map[string]ratelimit.ShareGrant `json:"shares,omitempty"`
-	// Fronts are the addresses of the fronts to which the front announces its
+	// Fronts are the addresses of the fronts to which the front sends hints on its
 	// dispatches. They are set only if the front's list is not of version
 	// FrontsVersion.
 	Fronts        []string `json:"fronts,omitempty"`
 	FrontsVersion uint64   `json:"fronts_version,omitempty"`
 	// LeaderAgeMS is the time since the election of the leader.
 	LeaderAgeMS float64 `json:"leader_age_ms,omitempty"`
-	// StoresLost are the sorted addresses of the unreachable stores.
-	StoresLost []string `json:"stores_lost,omitempty"`
+	// UnreachableStores are the sorted addresses of the unreachable stores.
+	UnreachableStores []string `json:"stores_lost,omitempty"`
 	// FrontCount is the number of fronts that follow the leader.
 	FrontCount int `json:"vms,omitempty"`
 }
--- a/internal/idempotency/client.go
+++ b/internal/idempotency/client.go
@@ -42,7 +42,7 @@
 	errRefused = errors.New("at-most-once record belongs to another request")
 )
 
-// Claim implements serving.ClaimStore. If the answer of the log is lost, it
+// Claim implements serving.ClaimStore. If the response of the log is lost, it
 // proposes the claim again with the same request ID, which returns the existing
 // claim if it was committed.
 func (c *Client) Claim(ctx context.Context, claim serving.Claim) (serving.ClaimStatus, serving.StoredResponse) {
@@ -54,7 +54,7 @@
 		result, err := c.propose(ctx, body)
 		if err == nil {
 			if status, known := claimStatus(result.GetOutcome()); known {
-				return status, storedAnswer(result.GetAnswer())
+				return status, storedResponse(result.GetAnswer())
 			}
 			return serving.ClaimUncertain, serving.StoredResponse{}
 		}
@@ -93,15 +93,15 @@
 
 // Complete implements serving.ClaimStore. If ctx ends first, it continues in the
 // background, because resends get "unknown" until the outcome is recorded.
-func (c *Client) Complete(ctx context.Context, claim serving.Claim, answer serving.StoredResponse) error {
+func (c *Client) Complete(ctx context.Context, claim serving.Claim, response serving.StoredResponse) error {
 	return c.settle(ctx, &claimsv1.Command{Body: &claimsv1.Command_Complete{Complete: &claimsv1.Complete{
 		Record:    recordName(claim),
 		RequestId: claim.RequestID,
 		Answer: &claimsv1.Answer{
-			Status:      int32(answer.Status),
-			ContentType: strings.ToValidUTF8(answer.ContentType, ""),
-			Body:        answer.Body,
-			Truncated:   answer.Truncated,
+			Status:      int32(response.Status),
+			ContentType: strings.ToValidUTF8(response.ContentType, ""),
+			Body:        response.Body,
+			Truncated:   response.Truncated,
 		},
 	}}})
 }
@@ -196,7 +196,7 @@
 	return h.Sum(nil)
 }
 
-func storedAnswer(a *claimsv1.Answer) serving.StoredResponse {
+func storedResponse(a *claimsv1.Answer) serving.StoredResponse {
 	return serving.StoredResponse{
 		Status:      int(a.GetStatus()),
 		ContentType: a.GetContentType(),
--- a/internal/idempotency/schedule_test.go
+++ b/internal/idempotency/schedule_test.go
@@ -80,11 +80,11 @@
 func (s *simulation) apply(body []byte) []byte {
 	s.index++
 	s.now = s.now.Add(time.Millisecond)
-	answer, err := s.machine.Apply(s.index, control.EncodeCommand(control.KindClaims, s.now, body))
+	response, err := s.machine.Apply(s.index, control.EncodeCommand(control.KindClaims, s.now, body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return answer
+	return response
 }
 
 // recoverCrash runs f and recovers from a simulated crash.
@@ -113,7 +113,7 @@
 		s.delayed = append(s.delayed, bytes.Clone(body))
 		return nil, control.ErrUncertain
 	}
-	answer := s.apply(body)
+	response := s.apply(body)
 	if s.chance("answer lost", 15) {
 		return nil, control.ErrUncertain
 	}
@@ -121,7 +121,7 @@
 	if s.chance("crash after commit", 10) {
 		panic(errCrash)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Do implements serving.ServiceClient.
@@ -196,11 +196,11 @@
 	s.recoverCrash(func() {
 		sink := &responseSink{}
 		outcome := vm.Forward(context.Background(), call, serving.ServiceRequest{Buffered: true}, sink)
-		s.checkAnswer(call, sink, outcome.Refusal)
+		s.checkResponse(call, sink, outcome.Refusal)
 	})
 }
 
-func (s *simulation) checkAnswer(call *serving.Call, sink *responseSink, refusal *serving.Refusal) {
+func (s *simulation) checkResponse(call *serving.Call, sink *responseSink, refusal *serving.Refusal) {
 	if refusal != nil && refusal.Run == serving.NotRun && s.executions[call.ID] != 0 {
 		s.t.Fatalf("request %s was refused with %q as not-run but ran", call.ID, refusal.Code)
 	}
@@ -223,7 +223,7 @@
 }
 
 // Guards against a request that runs twice, and against a resend that is answered
-// with not-run or with another answer although the request has run.
+// with not-run or with another response although the request has run.
 func TestExecutionsPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{t: t, machine: newMachine(), now: time.UnixMilli(1), executions: make(map[string]int)}
--- a/internal/idempotency/statemachine.go
+++ b/internal/idempotency/statemachine.go
@@ -16,7 +16,7 @@
 	claimsv1 "github.com/cuminwing/cuminwing/proto/claims/v1"
 )
 
-// maxStoredBytes is the maximum total size of the answer bodies that a voter
+// maxStoredBytes is the maximum total size of the response bodies that a voter
 // keeps. Beyond it the oldest bodies are evicted, and resends of their requests
 // get only status and hash. 64 MiB is a quarter of the memory that the design
 // allows a node for control data.
@@ -98,7 +98,7 @@
 	case r.GetState() == claimsv1.State_STATE_DONE:
 		return &claimsv1.Result{Outcome: claimsv1.Outcome_OUTCOME_DONE, Answer: r.GetAnswer()}
 	case r.GetRequestId() == c.GetRequestId():
-		// The request repeats its claim because the first answer was lost.
+		// The request repeats its claim because the first response was lost.
 		return outcome(claimsv1.Outcome_OUTCOME_GRANTED)
 	}
 	return outcome(claimsv1.Outcome_OUTCOME_PENDING)
@@ -120,8 +120,8 @@
 	return outcome(claimsv1.Outcome_OUTCOME_ACCEPTED)
 }
 
-// release also creates a released record if none exists: a claim whose answer was
-// lost may still be in flight and must not be granted after its request has
+// release also creates a released record if none exists: a claim whose response
+// was lost may still be in flight and must not be granted after its request has
 // abandoned it.
 func (p *StateMachine) release(now time.Time, c *claimsv1.Release) *claimsv1.Result {
 	r, known := p.records[string(c.GetRecord())]
--- a/internal/idempotency/statemachine_test.go
+++ b/internal/idempotency/statemachine_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guards against a voter that runs out of memory because of stored answers, and
-// against a voter whose state differs after it is restored from a snapshot.
+// Guards against a voter that runs out of memory because of stored responses,
+// and against a voter whose state differs after it is restored from a snapshot.
 func TestStoredBodiesAreBounded(t *testing.T) {
 	p := NewStateMachine()
 	p.maxStored = 100
--- a/internal/loadgen/measure.go
+++ b/internal/loadgen/measure.go
@@ -252,7 +252,7 @@
 }
 
 // chargedTokens returns the tokens charged for the request: its prompt and the
-// maximum length of its answer.
+// maximum length of its response.
 func chargedTokens(p *Profile, r Result) float64 {
 	return float64(len(r.Request.Prompt)/bytesPerToken + p.Models[r.Request.Model].AnswerTokens)
 }
--- a/internal/loadgen/profile.go
+++ b/internal/loadgen/profile.go
@@ -53,7 +53,7 @@
 	RequestShare float64
 	// PromptBlocks is the length of a prompt in blocks.
 	PromptBlocks int
-	// AnswerTokens is the length of an answer in tokens.
+	// AnswerTokens is the length of a response in tokens.
 	AnswerTokens int
 	// Documents is the number of long documents of which each prompt contains
 	// one.
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// meanRequestTokens returns the mean number of prompt and answer tokens of a
+// meanRequestTokens returns the mean number of prompt and response tokens of a
 // request.
 func (p *Profile) meanRequestTokens() float64 {
 	sum := 0.0
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -37,7 +37,7 @@
 	Version uint64
 	// Status is the observer's view of the member.
 	Status Status
-	// ConfigRevision is the configuration revision in force on the member.
+	// ConfigRevision is the configuration revision that is active on the member.
 	ConfigRevision uint64
 	// KeyDigest is the digest of the withdrawn keys known to the member.
 	KeyDigest uint64
--- a/internal/orders/lease.go
+++ b/internal/orders/lease.go
@@ -27,11 +27,11 @@
 
 // NewLease returns a new lease. Sent is a time before the acquire command was
 // proposed, answered a time after it was committed.
-func NewLease(fence uint64, sent, answered time.Time) Lease {
+func NewLease(fencingToken uint64, sent, committed time.Time) Lease {
 	// The former holder's last renewal was committed before this command and
 	// proposed even earlier. Either clock may drift by driftPermille.
 	takeoverWait := LeaseDuration * (1000 + 2*driftPermille + 1) / 1000
-	return Lease{FencingToken: fence, expires: sent.Add(LeaseDuration), exclusiveFrom: answered.Add(takeoverWait)}
+	return Lease{FencingToken: fencingToken, expires: sent.Add(LeaseDuration), exclusiveFrom: committed.Add(takeoverWait)}
 }
 
 // Renew extends the lease after a renewal that was proposed at sent was
--- a/internal/orders/statemachine.go
+++ b/internal/orders/statemachine.go
@@ -65,11 +65,11 @@
 	if accepted {
 		p.state.Store(next)
 	}
-	answer, err := proto.Marshal(&ordersv1.Answer{Accepted: accepted, Fence: p.State().FencingToken})
+	response, err := proto.Marshal(&ordersv1.Answer{Accepted: accepted, Fence: p.State().FencingToken})
 	if err != nil {
 		return nil
 	}
-	return answer
+	return response
 }
 
 // clone returns a modifiable copy without the closed orders whose retention has
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -9,8 +9,8 @@
 // divided.
 const budgetSlots = 10
 
-// budgetFraction is the fraction of the promised budget that is used. The
-// margin is needed because the promise holds for a sliding window, while the
+// budgetFraction is the fraction of the guaranteed budget that is used. The
+// margin is needed because the guarantee holds for a sliding window, while the
 // window here advances slot by slot.
 const budgetFraction = 0.7
 
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -418,8 +418,8 @@
 	}
 }
 
-// Guards against keys that a VM accepts although it has been cut off from the
-// core for longer than a withdrawn key may remain valid.
+// Guards against keys that a VM accepts although it has been partitioned
+// from the core for longer than a withdrawn key may remain valid.
 func TestKeysAreRefusedOnceTheyAreNotConfirmed(t *testing.T) {
 	target := newTarget(t, respondOK("fine"))
 	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, target)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -358,7 +358,7 @@
 		return true, nil
 	}
 	if c.r.Context().Err() != nil {
-		return true, &errCallerLeft
+		return true, &errCallerDisconnected
 	}
 	if result.mayHaveRun() {
 		c.possibleRuns++
--- a/internal/proxy/refusal.go
+++ b/internal/proxy/refusal.go
@@ -61,5 +61,5 @@
 // has received in part cannot be completed.
 var errAborted = refusal{0, "aborted", 0}
 
-// errCallerLeft means that the caller has disconnected.
-var errCallerLeft = refusal{0, "caller_left", 0}
+// errCallerDisconnected means that the caller has disconnected.
+var errCallerDisconnected = refusal{0, "caller_left", 0}
--- a/internal/ratelimit/bound_test.go
+++ b/internal/ratelimit/bound_test.go
@@ -18,7 +18,7 @@
 }
 
 // fleet simulates a root and a few VMs on a random schedule with lost messages,
-// VM crashes, leader changes and VMs that are cut off.
+// VM crashes, leader changes and VMs that are partitioned.
 type fleet struct {
 	t          *testing.T
 	rng        *rand.Rand
@@ -65,15 +65,15 @@
 
 func (f *fleet) lookup(string) (Limit, bool) { return f.limit, true }
 
-// exchange sends a report to the root and applies the answer. The report or the
-// answer may be lost.
-func (f *fleet) exchange(vm int, loseReport, loseAnswer bool) {
+// exchange sends a report to the root and applies the response. The report or
+// the response may be lost.
+func (f *fleet) exchange(vm int, loseReport, loseResponse bool) {
 	report, _ := f.locals[vm].Report(f.now)
 	if loseReport {
 		return
 	}
 	grants := f.root.Handle(f.now, report, f.lookup)
-	if !loseAnswer {
+	if !loseResponse {
 		f.locals[vm].ApplyGrants(f.now, report.Sequence, grants)
 	}
 }
@@ -211,7 +211,7 @@
 	f.recordAdmitted()
 }
 
-// reorder delivers a report and its answer after those of a later report.
+// reorder delivers a report and its response after those of a later report.
 func (f *fleet) reorder(vm int) {
 	l := f.locals[vm]
 	late, _ := l.Report(f.now)
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -5,7 +5,7 @@
 // Tokens are conserved. A root bucket on the leader of the control log grants
 // tokens to VMs; its level plus all tokens outstanding at VMs never exceeds its
 // capacity. A fixed fraction of rate and burst, the floor, is divided among the
-// VM slots and can be spent without the root, so that a zone that is cut off
+// VM slots and can be spent without the root, so that a partitioned zone
 // continues to serve. VMs of a zone lend each other tokens. The lender counts
 // them as outstanding until they expire, so no token is counted at two VMs. The
 // package does no I/O, and VMs exchange only durations, no absolute times.
--- a/internal/ratelimit/local.go
+++ b/internal/ratelimit/local.go
@@ -169,9 +169,9 @@
 	return report, len(report.Items) > 0
 }
 
-// ApplyGrants applies the answer to the report with the given sequence. Answers
-// to earlier reports are ignored, because the root already treats their grants
-// as lost.
+// ApplyGrants applies the response to the report with the given sequence.
+// Responses to earlier reports are ignored, because the root already treats
+// their grants as lost.
 func (l *LocalLimiter) ApplyGrants(now time.Time, sequence uint64, grants []Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ratelimit/shareallocator.go
+++ b/internal/ratelimit/shareallocator.go
@@ -84,7 +84,7 @@
 
 // Report stores the report of one incarnation of a VM and returns its grants.
 // An earlier incarnation has ended and spends nothing any more; its reports get
-// no answer.
+// no response.
 func (d *ShareAllocator) Report(now time.Duration, vm string, incarnation int64, reports map[string]ShareReport) map[string]ShareGrant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 	h.lastReport = now
 	h.reports = reports
-	answer := make(map[string]ShareGrant, len(reports))
+	grants := make(map[string]ShareGrant, len(reports))
 	granted := make(map[string]float64, len(reports))
 	for workspace, r := range reports {
 		g := d.sumOthers(now, h, workspace)
@@ -113,11 +113,11 @@
 		if g.WarmingUp = now-d.started < warmupTime; g.WarmingUp {
 			g.PreviousRate = d.previousRates[workspace]
 		}
-		answer[workspace] = g
+		grants[workspace] = g
 		granted[workspace] = g.Fraction
 	}
 	h.granted = granted
-	return answer
+	return grants
 }
 
 // sumOthers returns the total spending and demand of all other VMs. A VM counts
@@ -169,8 +169,8 @@
 }
 
 // nextFraction returns the new fraction of one VM. A decrease takes effect only
-// when the VM receives the answer, so the VM counts with the larger value until
-// its next report.
+// when the VM receives the response, so the VM counts with the larger value
+// until its next report.
 func (d *ShareAllocator) nextFraction(now time.Duration, h *vmShares, workspace string, held float64) float64 {
 	desired := d.fractionByDemand(h, workspace)
 	free := 1 - d.heldByOthers(h, workspace)
--- a/internal/ratelimit/shares.go
+++ b/internal/ratelimit/shares.go
@@ -50,7 +50,7 @@
 	// admits requests regardless of its share. The rest covers what VMs spend
 	// between two reports.
 	softLimitFraction = 0.82
-	// maxGrantAge is how old the allocator's answer may be for the total
+	// maxGrantAge is how old the allocator's response may be for the total
 	// spending to count as known. It exceeds the duration of a leader change.
 	maxGrantAge = 3 * time.Second
 	// hardLimitFraction is the fraction of a window's limit above which no
@@ -92,7 +92,7 @@
 	return Spending{max(s.Spent-other.Spent, 0), max(s.Recent-other.Recent, 0)}
 }
 
-// ShareGrant is the allocator's answer for one workspace.
+// ShareGrant is the allocator's response for one workspace.
 type ShareGrant struct {
 	// Fraction is the part of rate and burst that the VM may use.
 	Fraction float64 `json:"fraction"`
@@ -315,7 +315,7 @@
 	return reports
 }
 
-// ApplyGrants applies the allocator's answer to the report that was sent at
+// ApplyGrants applies the allocator's response to the report that was sent at
 // sent. rates returns the rate and burst at which the bucket of a workspace was
 // filled so far. vms is the number of VMs that share the rates.
 func (s *ShareLimiter) ApplyGrants(now, sent time.Duration, vms int, grants map[string]ShareGrant, rates func(workspace string) (rate, burst float64)) {
--- a/internal/ratelimit/shares_test.go
+++ b/internal/ratelimit/shares_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// shareFleet simulates an allocator and VMs that lose answers, restart and are
-// cut off.
+// shareFleet simulates an allocator and VMs that lose responses, restart and are
+// partitioned.
 type shareFleet struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -29,7 +29,7 @@
 	name             string
 	incarnation      int64
 	shares           *ShareLimiter
-	lastAnswer       time.Duration
+	lastResponse     time.Duration
 	partitionedUntil time.Duration
 	weight           float64
 }
@@ -72,7 +72,7 @@
 		return
 	}
 	v.shares.ApplyGrants(f.now, f.now, len(f.vms), granted, func(string) (float64, float64) { return testRate, testBurst })
-	v.lastAnswer = f.now
+	v.lastResponse = f.now
 }
 
 func (f *shareFleet) step(demand float64) {
@@ -80,7 +80,7 @@
 	for _, v := range f.vms {
 		switch {
 		case f.random.Float64() < 0.0005:
-			v.shares, v.lastAnswer = NewShareLimiter(testOvershoot), f.now-time.Hour
+			v.shares, v.lastResponse = NewShareLimiter(testOvershoot), f.now-time.Hour
 			v.incarnation++
 		case f.random.Float64() < 0.001:
 			v.partitionedUntil = f.now + time.Duration(f.random.IntN(8000))*time.Millisecond
@@ -101,7 +101,7 @@
 		}
 		perStep--
 		tokens := mean * (0.2 + 1.6*f.random.Float64())
-		if f.now-v.lastAnswer > ShareLease {
+		if f.now-v.lastResponse > ShareLease {
 			continue
 		}
 		f.requests++
@@ -129,8 +129,8 @@
 }
 
 // Guards against fractions that add up to more than the rate while VMs restart,
-// are cut off or lose answers. The bound is rate x window + burst, plus 10% and
-// one request of debt for each VM.
+// are partitioned or lose responses. The bound is rate x window + burst, plus
+// 10% and one request of debt for each VM.
 func TestSharesLimitWorkspaceFarOverItsRate(t *testing.T) {
 	window := testOvershoot.Window
 	for _, seed := range shareSeeds() {
@@ -213,7 +213,7 @@
 	// it covers is within the rate.
 	level := burst
 	rates := func(string) (float64, float64) { return rate, burst }
-	// A front accepts requests only after its first answer from the allocator.
+	// A front accepts requests only after its first response from the allocator.
 	for _, v := range f.vms {
 		v.shares.ApplyGrants(f.now, f.now, len(f.vms), f.allocator.Report(f.now, v.name, 0, v.shares.Report(f.now, []string{"w"})), rates)
 	}
@@ -254,7 +254,7 @@
 	f.now += down
 	f.allocator = NewShareAllocator(f.now, testOvershoot.Window, record)
 	for _, v := range f.vms {
-		v.shares, v.lastAnswer = NewShareLimiter(testOvershoot), f.now-time.Hour
+		v.shares, v.lastResponse = NewShareLimiter(testOvershoot), f.now-time.Hour
 		v.incarnation++
 		f.report(v)
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -31,8 +31,8 @@
 	// retryDelay is the time until an engine that has not executed an order is
 	// ordered again, and between two calls to an unresponsive engine.
 	retryDelay = 700 * time.Millisecond
-	// unresponsiveTimeout is the time after which an engine that does not answer
-	// no longer counts towards the limit of concurrent updates.
+	// unresponsiveTimeout is the time after which an engine that does not
+	// respond no longer counts towards the limit of concurrent updates.
 	unresponsiveTimeout = 800 * time.Millisecond
 )
 
@@ -75,7 +75,7 @@
 	// reported.
 	reportedWeights uint64
 	// unresponsiveSince is the time of the first unanswered call since the last
-	// answer; 0 if the last call was answered.
+	// response; 0 if it responded to the last call.
 	unresponsiveSince time.Duration
 }
 
@@ -167,7 +167,7 @@
 	return actions
 }
 
-// isUnresponsive reports whether an engine has not answered for longer than
+// isUnresponsive reports whether an engine has not responded for longer than
 // unresponsiveTimeout, so that the updates of others need not wait for it.
 func (p *Planner) isUnresponsive(now time.Duration, id string) bool {
 	e := p.engines[id]
@@ -241,7 +241,7 @@
 	}
 }
 
-// RecordNoResponse records that an engine did not answer a call.
+// RecordNoResponse records that an engine did not respond to a call.
 func (p *Planner) RecordNoResponse(now time.Duration, id string) {
 	e := p.engines[id]
 	if e == nil {
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -121,7 +121,7 @@
 // heldBlocks returns how many leading blocks of the chain candidate i is
 // expected to hold.
 func (p *Picker) heldBlocks(q *query, c *candidate, i int, crossRegion bool) int {
-	if q.ownerAnswered && !crossRegion {
+	if q.ownerResponded && !crossRegion {
 		return p.ownerBlocks[i]
 	}
 	return matchedBlocks(&p.match, c)
@@ -148,7 +148,7 @@
 
 const (
 	// recentChoiceTTL is how long this VM adds its own choices to the owner's
-	// answers. After that time the owner has received them.
+	// responses. After that time the owner has received them.
 	recentChoiceTTL  = 100 * time.Millisecond
 	maxRecentChoices = 64
 )
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -24,7 +24,7 @@
 }
 
 // OwnerLookup asks the VM that owns a chain which targets hold it. It reports
-// false if this VM is the owner or if the owner did not answer in time.
+// false if this VM is the owner or if the owner did not respond in time.
 type OwnerLookup interface {
 	Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool)
 }
@@ -124,15 +124,15 @@
 // PickChain chooses a target for a prompt whose block hashes are known.
 func (p *Picker) PickChain(ctx context.Context, req serving.PickRequest, hint serving.PrefixHint) (*serving.Pick, *serving.Refusal) {
 	var holdings []prefix.Holding
-	ownerAnswered := false
+	ownerResponded := false
 	if p.OwnerLookup != nil && len(hint.Blocks) > 0 {
-		holdings, ownerAnswered = p.OwnerLookup.Lookup(ctx, hint.Blocks)
+		holdings, ownerResponded = p.OwnerLookup.Lookup(ctx, hint.Blocks)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	mayBeStale := p.view != nil
 	for range maxPickAttempts {
-		q := p.newQuery(req, hint.Blocks, holdings, ownerAnswered)
+		q := p.newQuery(req, hint.Blocks, holdings, ownerResponded)
 		best, ok := p.choose(q)
 		if !ok && mayBeStale {
 			// A target may have joined since the view was built.
@@ -173,16 +173,16 @@
 	storeBlocks int
 	store       *candidate
 	holdTime    time.Duration
-	// ownerAnswered is true if another VM owns the chain and answered the
-	// lookup.
-	ownerAnswered bool
+	// ownerResponded is true if another VM owns the chain and responded to
+	// the lookup.
+	ownerResponded bool
 }
 
-func (p *Picker) newQuery(req serving.PickRequest, chain []prefix.Hash, holdings []prefix.Holding, ownerAnswered bool) *query {
+func (p *Picker) newQuery(req serving.PickRequest, chain []prefix.Hash, holdings []prefix.Holding, ownerResponded bool) *query {
 	call := req.Call
 	model := call.Snapshot.Document.Models[call.Model]
 	perToken := float64(time.Second) / model.PrefillTokensPerSecond
-	q := &query{req: req, now: p.Clock(), chain: chain, ownerAnswered: ownerAnswered}
+	q := &query{req: req, now: p.Clock(), chain: chain, ownerResponded: ownerResponded}
 	q.blockPrefill = time.Duration(perToken * float64(model.BlockTokens))
 	q.tailPrefill = time.Duration(perToken * float64(max(1, call.PromptTokens-len(chain)*model.BlockTokens)))
 	q.blockImport = time.Duration(float64(model.BlockTokens*model.KVBytesPerToken) / kvBytesPerSecond * float64(time.Second))
@@ -196,17 +196,17 @@
 	p.refresh(q.now, call.Snapshot)
 	q.group = p.groupFor(groupKey{call.Model, call.Version, call.Adapter}, q.now)
 	p.Index.Match(&p.match, chain)
-	if ownerAnswered {
-		p.applyOwnerAnswer(q, holdings)
+	if ownerResponded {
+		p.applyOwnerResponse(q, holdings)
 	}
 	p.findStore(q, holdings)
 	return q
 }
 
-// applyOwnerAnswer assigns the owner's answer to the candidates in the home
+// applyOwnerResponse assigns the owner's response to the candidates in the home
 // region. It adds the recent choices of this VM, which the owner may not have
 // received yet.
-func (p *Picker) applyOwnerAnswer(q *query, holdings []prefix.Holding) {
+func (p *Picker) applyOwnerResponse(q *query, holdings []prefix.Holding) {
 	p.ownerBlocks = resize(p.ownerBlocks, len(q.group.home))
 	clear(p.ownerBlocks)
 	for _, h := range holdings {
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -304,8 +304,8 @@
 	return o.holdings, o.holdings != nil
 }
 
-// Guards against ignoring the owner's answer, and against failing when the
-// owner does not answer.
+// Guards against ignoring the owner's response, and against failing when the
+// owner does not respond.
 func TestUsesOwnerAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.announceEngines(4)
--- a/internal/scenario/calls_test.go
+++ b/internal/scenario/calls_test.go
@@ -49,7 +49,7 @@
 		wantDoneEvents = 1
 	}
 	return c.startCall(v, "/v1/chat/completions", body, "", func(p *pendingCall) bool {
-		return p.doneEvents == wantDoneEvents && p.text.String() == standin.ExpectedAnswer([]byte(messages), tokens)
+		return p.doneEvents == wantDoneEvents && p.text.String() == standin.ExpectedResponse([]byte(messages), tokens)
 	})
 }
 
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -386,7 +386,7 @@
 	return &configv1.Edit{Id: fmt.Sprint("edit-", c.editCount.Add(1)), Sections: []*configv1.SectionEdit{section}}
 }
 
-// cmdInForce waits until a heartbeat limit is in force on the running VMs:
+// cmdInForce waits until a heartbeat limit is active on the running VMs:
 // in-force VALUE [NAME]. NAME restricts the check to a VM or zone.
 func cmdInForce(c *testCluster, args []string) {
 	want, group := c.parseInt(args[0], 0), "all"
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -212,7 +212,7 @@
 		if !e.faults.injectBeforeToken(ctx, &out, i-start) {
 			return
 		}
-		if out.token(i, AnswerToken(seed, i)) != nil || !pause.For(ctx, e.options.TokenInterval) {
+		if out.token(i, ResponseToken(seed, i)) != nil || !pause.For(ctx, e.options.TokenInterval) {
 			return
 		}
 	}
@@ -230,19 +230,20 @@
 	return h.Sum64()
 }
 
-// ExpectedAnswer returns the complete text that every engine generates for the
+// ExpectedResponse returns the complete text that every engine generates for the
 // messages of a chat request.
-func ExpectedAnswer(messages []byte, tokens int) string {
+func ExpectedResponse(messages []byte, tokens int) string {
 	seed := promptSeed(engineRequest{Messages: messages})
 	var text strings.Builder
 	for i := range tokens {
-		text.WriteString(AnswerToken(seed, i))
+		text.WriteString(ResponseToken(seed, i))
 	}
 	return text.String()
 }
 
-// AnswerToken returns token i of the response to the prompt with the given seed.
-func AnswerToken(seed uint64, i int) string {
+// ResponseToken returns token i of the response to the prompt with the given
+// seed.
+func ResponseToken(seed uint64, i int) string {
 	return "w" + strconv.FormatUint((seed+uint64(i)*2654435761)%9973, 10) + " "
 }
 
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -123,12 +123,12 @@
 		if l.unacknowledgedBatch == nil && !l.sealBatch() {
 			return nil
 		}
-		answer, err := log.Propose(ctx, control.KindUsage, l.unacknowledgedBatch)
+		response, err := log.Propose(ctx, control.KindUsage, l.unacknowledgedBatch)
 		if err != nil {
 			return fmt.Errorf("send usage batch %d: %w", l.sequence, err)
 		}
-		if string(answer) != answerCounted {
-			return fmt.Errorf("send usage batch %d: unexpected answer %q from the control log", l.sequence, answer)
+		if string(response) != answerCounted {
+			return fmt.Errorf("send usage batch %d: unexpected answer %q from the control log", l.sequence, response)
 		}
 		l.unacknowledgedBatch = nil
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -15,7 +15,7 @@
 )
 
 // stubLog applies commands to one state machine. fault decides whether the next
-// command or its answer is lost.
+// command or its response is lost.
 type stubLog struct {
 	control.Log
 	stateMachine *StateMachine
@@ -32,11 +32,11 @@
 		return nil, control.ErrNotCommitted
 	}
 	l.committed = append(l.committed, body)
-	answer := l.stateMachine.Apply(1, l.now, body)
+	response := l.stateMachine.Apply(1, l.now, body)
 	if unanswered {
 		return nil, control.ErrUncertain
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (l *stubLog) total() counts {
@@ -47,7 +47,7 @@
 	return all
 }
 
-// Guards against usage that is counted twice or lost when batches or answers
+// Guards against usage that is counted twice or lost when batches or responses
 // are lost, resent or repeated late, or when the state is restored from a
 // snapshot.
 func TestUsageCountsExactlyOnce(t *testing.T) {
