--- a/internal/adapter/replica/transport.go
+++ b/internal/adapter/replica/transport.go
@@ -44,36 +44,36 @@
 
 // Send implements Transport. Messages that do not fit in the queue are dropped;
 // package raft sends them again.
-func (p *TwirpTransport) Send(address string, messages []raft.Message) {
-	queue := p.queueFor(address)
+func (t *TwirpTransport) Send(address string, messages []raft.Message) {
+	queue := t.queueFor(address)
 	for _, m := range messages {
 		queue.Push(m)
 	}
 }
 
-func (p *TwirpTransport) queueFor(address string) *ring.Ring[raft.Message] {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if queue, ok := p.queues[address]; ok {
+func (t *TwirpTransport) queueFor(address string) *ring.Ring[raft.Message] {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if queue, ok := t.queues[address]; ok {
 		return queue
 	}
-	if p.queues == nil {
-		p.queues = make(map[string]*ring.Ring[raft.Message])
+	if t.queues == nil {
+		t.queues = make(map[string]*ring.Ring[raft.Message])
 	}
 	queue := ring.New[raft.Message](sendQueueCapacity)
-	p.queues[address] = queue
-	client := raftv1.NewRaftServiceProtobufClient(p.URL(address), p.Client)
-	p.Go(func(ctx context.Context) { p.sendLoop(ctx, client, queue) })
+	t.queues[address] = queue
+	client := raftv1.NewRaftServiceProtobufClient(t.URL(address), t.Client)
+	t.Go(func(ctx context.Context) { t.sendLoop(ctx, client, queue) })
 	return queue
 }
 
-func (p *TwirpTransport) sendLoop(ctx context.Context, client raftv1.RaftService, queue *ring.Ring[raft.Message]) {
+func (t *TwirpTransport) sendLoop(ctx context.Context, client raftv1.RaftService, queue *ring.Ring[raft.Message]) {
 	for {
 		first, ok := queue.Pop(ctx)
 		if !ok {
 			return
 		}
-		request := p.collectBatch(first, queue)
+		request := t.collectBatch(first, queue)
 		callCtx, cancel := context.WithTimeout(ctx, stepTimeout)
 		_, err := client.Step(callCtx, request)
 		cancel()
@@ -85,8 +85,8 @@
 
 // collectBatch returns a request with m and further queued messages, up to
 // maxBatchMessages messages or about maxBatchBytes of payload.
-func (p *TwirpTransport) collectBatch(m raft.Message, queue *ring.Ring[raft.Message]) *raftv1.StepRequest {
-	request := &raftv1.StepRequest{FromAddress: p.Self}
+func (t *TwirpTransport) collectBatch(m raft.Message, queue *ring.Ring[raft.Message]) *raftv1.StepRequest {
+	request := &raftv1.StepRequest{FromAddress: t.Self}
 	size := 0
 	for {
 		request.Messages = append(request.Messages, encodeMessage(&m))
--- a/internal/control/configstate/statemachine.go
+++ b/internal/control/configstate/statemachine.go
@@ -38,45 +38,45 @@
 // NewStateMachine returns a StateMachine with an empty document. It calls
 // onChange each time the state is replaced.
 func NewStateMachine(onChange func()) *StateMachine {
-	p := &StateMachine{onChange: onChange, results: make(map[string]*configv1.EditResult)}
-	p.state.Store(NewState())
-	p.validator = config.NewIncrementalValidator(config.Document{})
-	return p
+	m := &StateMachine{onChange: onChange, results: make(map[string]*configv1.EditResult)}
+	m.state.Store(NewState())
+	m.validator = config.NewIncrementalValidator(config.Document{})
+	return m
 }
 
 // State returns the state after the last applied command.
-func (p *StateMachine) State() *State { return p.state.Load() }
+func (m *StateMachine) State() *State { return m.state.Load() }
 
 // Apply implements control.StateMachine. The response is an encoded EditResult.
-func (p *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
+func (m *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
 	var edit configv1.Edit
 	if err := proto.Unmarshal(body, &edit); err != nil {
 		return encodeResult(setInvalid(&configv1.EditResult{}, config.Problem{Path: "$", Reason: "edit cannot be decoded"}))
 	}
-	return encodeResult(p.apply(index, now, &edit, fingerprint(body)))
+	return encodeResult(m.apply(index, now, &edit, fingerprint(body)))
 }
 
-func (p *StateMachine) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
-	if stored, ok := p.results[edit.GetId()]; ok {
+func (m *StateMachine) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
+	if stored, ok := m.results[edit.GetId()]; ok {
 		if stored.GetFingerprint() == bodyFingerprint {
 			return stored
 		}
 		return &configv1.EditResult{EditId: edit.GetId(), Outcome: configv1.Outcome_OUTCOME_ID_REUSED, Revision: stored.GetRevision()}
 	}
-	result := &configv1.EditResult{EditId: edit.GetId(), Revision: p.State().Revision, Fingerprint: bodyFingerprint}
-	p.execute(index, now, edit, result)
+	result := &configv1.EditResult{EditId: edit.GetId(), Revision: m.State().Revision, Fingerprint: bodyFingerprint}
+	m.execute(index, now, edit, result)
 	if edit.GetId() != "" {
-		p.storeResult(result)
+		m.storeResult(result)
 	}
 	return result
 }
 
-func (p *StateMachine) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
+func (m *StateMachine) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
 	if problems := validateEdit(edit); len(problems) > 0 {
 		setInvalid(result, problems...)
 		return
 	}
-	current := p.State()
+	current := m.State()
 	if conflicts := current.conflicts(edit); len(conflicts) > 0 {
 		result.Outcome = configv1.Outcome_OUTCOME_CONFLICT
 		result.Conflicts = conflicts
@@ -85,7 +85,7 @@
 	change := &configv1.Change{Revision: index, Previous: current.Revision, TimeMs: now.UnixMilli(), Edit: edit}
 	next, changed, problems := current.merge(change, decodeAndCheckSchema)
 	if len(problems) == 0 {
-		problems = p.validator.Validate(current.Document, next.Document, changed)
+		problems = m.validator.Validate(current.Document, next.Document, changed)
 	}
 	if len(problems) > 0 {
 		setInvalid(result, problems...)
@@ -93,9 +93,9 @@
 	}
 	result.Outcome = configv1.Outcome_OUTCOME_ACCEPTED
 	result.Revision = index
-	p.validator.Apply(current.Document, next.Document, changed)
-	p.state.Store(next)
-	p.onChange()
+	m.validator.Apply(current.Document, next.Document, changed)
+	m.state.Store(next)
+	m.onChange()
 }
 
 func validateEdit(edit *configv1.Edit) []config.Problem {
@@ -137,26 +137,26 @@
 	return conflicts
 }
 
-func (p *StateMachine) storeResult(result *configv1.EditResult) {
-	p.results[result.GetEditId()] = result
-	p.resultOrder = append(p.resultOrder, result.GetEditId())
-	if len(p.resultOrder) > MaxResults {
-		delete(p.results, p.resultOrder[0])
-		p.resultOrder = p.resultOrder[1:]
+func (m *StateMachine) storeResult(result *configv1.EditResult) {
+	m.results[result.GetEditId()] = result
+	m.resultOrder = append(m.resultOrder, result.GetEditId())
+	if len(m.resultOrder) > MaxResults {
+		delete(m.results, m.resultOrder[0])
+		m.resultOrder = m.resultOrder[1:]
 	}
 }
 
 // Snapshot implements control.StateMachine.
-func (p *StateMachine) Snapshot() ([]byte, error) {
-	message := p.State().toProto()
-	for _, id := range p.resultOrder {
-		message.Results = append(message.Results, p.results[id])
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	message := m.State().toProto()
+	for _, id := range m.resultOrder {
+		message.Results = append(message.Results, m.results[id])
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(message)
 }
 
 // Restore implements control.StateMachine.
-func (p *StateMachine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var message configv1.State
 	if err := proto.Unmarshal(data, &message); err != nil {
 		return fmt.Errorf("decode configuration snapshot: %w", err)
@@ -165,14 +165,14 @@
 	if err != nil {
 		return err
 	}
-	p.results = make(map[string]*configv1.EditResult, len(message.GetResults()))
-	p.resultOrder = nil
+	m.results = make(map[string]*configv1.EditResult, len(message.GetResults()))
+	m.resultOrder = nil
 	for _, result := range message.GetResults() {
-		p.storeResult(result)
+		m.storeResult(result)
 	}
-	p.validator = config.NewIncrementalValidator(state.Document)
-	p.state.Store(state)
-	p.onChange()
+	m.validator = config.NewIncrementalValidator(state.Document)
+	m.state.Store(state)
+	m.onChange()
 	return nil
 }
 
--- a/internal/control/withdrawnkeys/statemachine.go
+++ b/internal/control/withdrawnkeys/statemachine.go
@@ -68,54 +68,54 @@
 }
 
 // Apply implements control.StateMachine. The response is empty.
-func (p *StateMachine) Apply(_ uint64, _ time.Time, body []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, _ time.Time, body []byte) []byte {
 	hashes, err := DecodeWithdrawal(body)
 	if err != nil {
 		// EncodeWithdrawal never produces such a command. Every voter ignores
 		// it, so the replicas stay identical.
 		return nil
 	}
-	p.add(hashes)
+	m.add(hashes)
 	return nil
 }
 
-func (p *StateMachine) add(hashes []apikeys.Hash) {
-	p.mu.Lock()
+func (m *StateMachine) add(hashes []apikeys.Hash) {
+	m.mu.Lock()
 	for _, h := range hashes {
-		p.set[h] = struct{}{}
+		m.set[h] = struct{}{}
 	}
-	p.mu.Unlock()
-	p.onAdd(hashes)
+	m.mu.Unlock()
+	m.onAdd(hashes)
 }
 
 // Contains reports whether the withdrawal of the key with hash h is committed
 // and applied.
-func (p *StateMachine) Contains(h apikeys.Hash) bool {
-	p.mu.RLock()
-	defer p.mu.RUnlock()
-	_, ok := p.set[h]
+func (m *StateMachine) Contains(h apikeys.Hash) bool {
+	m.mu.RLock()
+	defer m.mu.RUnlock()
+	_, ok := m.set[h]
 	return ok
 }
 
 // Snapshot implements control.StateMachine.
-func (p *StateMachine) Snapshot() ([]byte, error) {
-	p.mu.RLock()
-	hashes := make([]apikeys.Hash, 0, len(p.set))
-	for h := range p.set {
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	m.mu.RLock()
+	hashes := make([]apikeys.Hash, 0, len(m.set))
+	for h := range m.set {
 		hashes = append(hashes, h)
 	}
-	p.mu.RUnlock()
+	m.mu.RUnlock()
 	slices.SortFunc(hashes, func(a, b apikeys.Hash) int { return bytes.Compare(a[:], b[:]) })
 	return EncodeWithdrawal(hashes), nil
 }
 
 // Restore implements control.StateMachine. Because the set only grows, Restore
 // adds to it and keeps the keys that it already contains.
-func (p *StateMachine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	hashes, err := DecodeWithdrawal(data)
 	if err != nil {
 		return err
 	}
-	p.add(hashes)
+	m.add(hashes)
 	return nil
 }
--- a/internal/control/withdrawnkeys/statemachine_test.go
+++ b/internal/control/withdrawnkeys/statemachine_test.go
@@ -10,10 +10,10 @@
 // Guards against losing a withdrawal when a snapshot is taken and restored.
 func TestWithdrawalsSurviveSnapshot(t *testing.T) {
 	withdrawn := apikeys.NewWithdrawnSet()
-	p := NewStateMachine(func(h []apikeys.Hash) { withdrawn.Add(h...) })
+	m := NewStateMachine(func(h []apikeys.Hash) { withdrawn.Add(h...) })
 	h := apikeys.HashKey("cw-leaked")
-	p.Apply(1, time.Time{}, EncodeWithdrawal([]apikeys.Hash{h}))
-	data, err := p.Snapshot()
+	m.Apply(1, time.Time{}, EncodeWithdrawal([]apikeys.Hash{h}))
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatewayconfig/statemachine.go
+++ b/internal/gatewayconfig/statemachine.go
@@ -35,51 +35,51 @@
 }
 
 // Current returns the current document. Its Version is 0 if there is none yet.
-func (p *StateMachine) Current() StoredDocument {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.stored
+func (m *StateMachine) Current() StoredDocument {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.stored
 }
 
 // Apply implements control.StateMachine.
-func (p *StateMachine) Apply(_ uint64, _ time.Time, body []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, _ time.Time, body []byte) []byte {
 	if len(body) < versionBytes {
 		return nil
 	}
 	version := binary.LittleEndian.Uint64(body)
-	p.mu.Lock()
-	changed := version > p.stored.Version
+	m.mu.Lock()
+	changed := version > m.stored.Version
 	if changed {
-		p.stored = StoredDocument{Version: version, Raw: append([]byte(nil), body[versionBytes:]...)}
+		m.stored = StoredDocument{Version: version, Raw: append([]byte(nil), body[versionBytes:]...)}
 	}
-	p.mu.Unlock()
-	p.notify(changed)
+	m.mu.Unlock()
+	m.notify(changed)
 	return nil
 }
 
-func (p *StateMachine) notify(changed bool) {
-	if changed && p.OnChange != nil {
-		p.OnChange()
+func (m *StateMachine) notify(changed bool) {
+	if changed && m.OnChange != nil {
+		m.OnChange()
 	}
 }
 
 // Snapshot implements control.StateMachine.
-func (p *StateMachine) Snapshot() ([]byte, error) {
-	s := p.Current()
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	s := m.Current()
 	return EncodeProposal(s.Version, s.Raw), nil
 }
 
 // Restore implements control.StateMachine.
-func (p *StateMachine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	if len(data) < versionBytes {
 		return errors.New("gatewayconfig: snapshot of the configuration document is truncated")
 	}
-	p.mu.Lock()
-	p.stored = StoredDocument{
+	m.mu.Lock()
+	m.stored = StoredDocument{
 		Version: binary.LittleEndian.Uint64(data),
 		Raw:     append([]byte(nil), data[versionBytes:]...),
 	}
-	p.mu.Unlock()
-	p.notify(true)
+	m.mu.Unlock()
+	m.notify(true)
 	return nil
 }
--- a/internal/idempotency/statemachine.go
+++ b/internal/idempotency/statemachine.go
@@ -46,29 +46,29 @@
 
 // Apply implements control.StateMachine. It returns an encoded Result, whose
 // outcome is OUTCOME_UNSPECIFIED if the command is malformed.
-func (p *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
-	p.expire(now)
+func (m *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
+	m.expire(now)
 	var command claimsv1.Command
 	result := &claimsv1.Result{}
 	if proto.Unmarshal(body, &command) == nil {
-		result = p.execute(index, now, &command)
+		result = m.execute(index, now, &command)
 	}
 	// Marshal fails only on invalid UTF-8, which Unmarshal has rejected.
 	encoded, _ := proto.Marshal(result)
 	return encoded
 }
 
-func (p *StateMachine) execute(index uint64, now time.Time, command *claimsv1.Command) *claimsv1.Result {
+func (m *StateMachine) execute(index uint64, now time.Time, command *claimsv1.Command) *claimsv1.Result {
 	switch c := command.GetBody().(type) {
 	case *claimsv1.Command_Claim:
 		if len(c.Claim.GetRecord()) == recordNameBytes && c.Claim.GetRequestId() != "" {
-			return p.claim(now, c.Claim)
+			return m.claim(now, c.Claim)
 		}
 	case *claimsv1.Command_Complete:
-		return p.complete(index, c.Complete)
+		return m.complete(index, c.Complete)
 	case *claimsv1.Command_Release:
 		if len(c.Release.GetRecord()) == recordNameBytes && c.Release.GetRequestId() != "" {
-			return p.release(now, c.Release)
+			return m.release(now, c.Release)
 		}
 	}
 	return &claimsv1.Result{}
@@ -76,10 +76,10 @@
 
 func outcome(o claimsv1.Outcome) *claimsv1.Result { return &claimsv1.Result{Outcome: o} }
 
-func (p *StateMachine) claim(now time.Time, c *claimsv1.Claim) *claimsv1.Result {
-	r, known := p.records[string(c.GetRecord())]
+func (m *StateMachine) claim(now time.Time, c *claimsv1.Claim) *claimsv1.Result {
+	r, known := m.records[string(c.GetRecord())]
 	if !known || r.GetState() == claimsv1.State_STATE_RELEASED && r.GetRequestId() != c.GetRequestId() {
-		p.putRecord(&claimsv1.Record{
+		m.putRecord(&claimsv1.Record{
 			Record:        c.GetRecord(),
 			BodyHash:      c.GetBodyHash(),
 			RequestId:     c.GetRequestId(),
@@ -104,8 +104,8 @@
 	return outcome(claimsv1.Outcome_OUTCOME_PENDING)
 }
 
-func (p *StateMachine) complete(index uint64, c *claimsv1.Complete) *claimsv1.Result {
-	r, known := p.records[string(c.GetRecord())]
+func (m *StateMachine) complete(index uint64, c *claimsv1.Complete) *claimsv1.Result {
+	r, known := m.records[string(c.GetRecord())]
 	if !known || r.GetRequestId() != c.GetRequestId() || r.GetState() == claimsv1.State_STATE_RELEASED {
 		return outcome(claimsv1.Outcome_OUTCOME_REFUSED)
 	}
@@ -113,9 +113,9 @@
 		r.State = claimsv1.State_STATE_DONE
 		r.Answer = c.GetAnswer()
 		r.StoredAt = index
-		p.withBody = append(p.withBody, string(c.GetRecord()))
-		p.storedBytes += len(r.GetAnswer().GetBody())
-		p.evictBodies()
+		m.withBody = append(m.withBody, string(c.GetRecord()))
+		m.storedBytes += len(r.GetAnswer().GetBody())
+		m.evictBodies()
 	}
 	return outcome(claimsv1.Outcome_OUTCOME_ACCEPTED)
 }
@@ -123,11 +123,11 @@
 // release also creates a released record if none exists: a claim whose response
 // was lost may still be in flight and must not be granted after its request has
 // abandoned it.
-func (p *StateMachine) release(now time.Time, c *claimsv1.Release) *claimsv1.Result {
-	r, known := p.records[string(c.GetRecord())]
+func (m *StateMachine) release(now time.Time, c *claimsv1.Release) *claimsv1.Result {
+	r, known := m.records[string(c.GetRecord())]
 	switch {
 	case !known:
-		p.putRecord(&claimsv1.Record{
+		m.putRecord(&claimsv1.Record{
 			Record:        c.GetRecord(),
 			RequestId:     c.GetRequestId(),
 			State:         claimsv1.State_STATE_RELEASED,
@@ -139,41 +139,41 @@
 	return outcome(claimsv1.Outcome_OUTCOME_ACCEPTED)
 }
 
-func (p *StateMachine) putRecord(r *claimsv1.Record) {
+func (m *StateMachine) putRecord(r *claimsv1.Record) {
 	name := string(r.GetRecord())
-	p.records[name] = r
-	heap.Push(&p.expiry, expiryEntry{r.GetExpiresUnixMs(), name})
+	m.records[name] = r
+	heap.Push(&m.expiry, expiryEntry{r.GetExpiresUnixMs(), name})
 }
 
-func (p *StateMachine) expire(now time.Time) {
+func (m *StateMachine) expire(now time.Time) {
 	limit := now.UnixMilli()
-	for len(p.expiry) > 0 && p.expiry[0].at <= limit {
-		due := heap.Pop(&p.expiry).(expiryEntry)
+	for len(m.expiry) > 0 && m.expiry[0].at <= limit {
+		due := heap.Pop(&m.expiry).(expiryEntry)
 		// A record that has replaced the expired one has its own heap entry.
-		if r, ok := p.records[due.name]; ok && r.GetExpiresUnixMs() <= limit {
-			p.storedBytes -= len(r.GetAnswer().GetBody())
-			delete(p.records, due.name)
+		if r, ok := m.records[due.name]; ok && r.GetExpiresUnixMs() <= limit {
+			m.storedBytes -= len(r.GetAnswer().GetBody())
+			delete(m.records, due.name)
 		}
 	}
 }
 
-func (p *StateMachine) evictBodies() {
-	for p.storedBytes > p.maxStored && len(p.withBody) > 0 {
-		name := p.withBody[0]
-		p.withBody = p.withBody[1:]
-		r, ok := p.records[name]
+func (m *StateMachine) evictBodies() {
+	for m.storedBytes > m.maxStored && len(m.withBody) > 0 {
+		name := m.withBody[0]
+		m.withBody = m.withBody[1:]
+		r, ok := m.records[name]
 		if !ok || len(r.GetAnswer().GetBody()) == 0 {
 			continue
 		}
-		p.storedBytes -= len(r.Answer.Body)
+		m.storedBytes -= len(r.Answer.Body)
 		r.Answer = &claimsv1.Answer{Status: r.Answer.Status, ContentType: r.Answer.ContentType, Truncated: true}
 	}
 }
 
 // Snapshot implements control.StateMachine.
-func (p *StateMachine) Snapshot() ([]byte, error) {
-	snapshot := &claimsv1.Snapshot{Records: make([]*claimsv1.Record, 0, len(p.records))}
-	for _, r := range p.records {
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	snapshot := &claimsv1.Snapshot{Records: make([]*claimsv1.Record, 0, len(m.records))}
+	for _, r := range m.records {
 		snapshot.Records = append(snapshot.Records, r)
 	}
 	slices.SortFunc(snapshot.Records, func(a, b *claimsv1.Record) int {
@@ -183,12 +183,12 @@
 }
 
 // Restore implements control.StateMachine.
-func (p *StateMachine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var snapshot claimsv1.Snapshot
 	if err := proto.Unmarshal(data, &snapshot); err != nil {
 		return fmt.Errorf("decode snapshot of at-most-once records: %w", err)
 	}
-	restored := &StateMachine{maxStored: p.maxStored, records: make(map[string]*claimsv1.Record, len(snapshot.GetRecords()))}
+	restored := &StateMachine{maxStored: m.maxStored, records: make(map[string]*claimsv1.Record, len(snapshot.GetRecords()))}
 	for _, r := range snapshot.GetRecords() {
 		restored.putRecord(r)
 		if body := r.GetAnswer().GetBody(); len(body) > 0 {
@@ -199,12 +199,12 @@
 	slices.SortFunc(restored.withBody, func(a, b string) int {
 		return int(int64(restored.records[a].GetStoredAt() - restored.records[b].GetStoredAt()))
 	})
-	*p = *restored
+	*m = *restored
 	return nil
 }
 
 // Len returns the number of records.
-func (p *StateMachine) Len() int { return len(p.records) }
+func (m *StateMachine) Len() int { return len(m.records) }
 
 // expiryEntry is the expiry time of a record.
 type expiryEntry struct {
--- a/internal/idempotency/statemachine_test.go
+++ b/internal/idempotency/statemachine_test.go
@@ -39,7 +39,7 @@
 // Guards against records that are removed before they expire, never removed, or
 // reused for another request.
 func TestRecordLifecycle(t *testing.T) {
-	p := NewStateMachine()
+	m := NewStateMachine()
 	start := time.UnixMilli(1000)
 	first := claimBy("r1", "k", 1)
 	for _, step := range []struct {
@@ -54,32 +54,32 @@
 		{claimBy("r4", "k", 1), start.Add(time.Hour - time.Millisecond), claimsv1.Outcome_OUTCOME_PENDING},
 		{claimBy("r5", "k", 1), start.Add(time.Hour), claimsv1.Outcome_OUTCOME_GRANTED},
 	} {
-		if got := applyClaim(t, p, step.at, step.claim).GetOutcome(); got != step.want {
+		if got := applyClaim(t, m, step.at, step.claim).GetOutcome(); got != step.want {
 			t.Errorf("claim of %s: outcome %s, want %s", step.claim.RequestID, got, step.want)
 		}
 	}
-	if p.Len() != 1 {
-		t.Errorf("%d records, want 1", p.Len())
+	if m.Len() != 1 {
+		t.Errorf("%d records, want 1", m.Len())
 	}
 }
 
 // Guards against a voter that runs out of memory because of stored responses,
 // and against a voter whose state differs after it is restored from a snapshot.
 func TestStoredBodiesAreBounded(t *testing.T) {
-	p := NewStateMachine()
-	p.maxStored = 100
+	m := NewStateMachine()
+	m.maxStored = 100
 	now := time.UnixMilli(0)
 	for i, key := range []string{"a", "b", "c"} {
-		applyClaim(t, p, now, claimBy("r", key, 1))
-		applyComplete(p, uint64(i), claimBy("r", key, 1), bytes.Repeat([]byte{'x'}, 40))
+		applyClaim(t, m, now, claimBy("r", key, 1))
+		applyComplete(m, uint64(i), claimBy("r", key, 1), bytes.Repeat([]byte{'x'}, 40))
 	}
 	restored := NewStateMachine()
 	restored.maxStored = 100
-	data, _ := p.Snapshot()
+	data, _ := m.Snapshot()
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []*StateMachine{p, restored} {
+	for _, part := range []*StateMachine{m, restored} {
 		oldest := applyClaim(t, part, now, claimBy("x", "a", 1))
 		newest := applyClaim(t, part, now, claimBy("x", "c", 1))
 		if !oldest.GetAnswer().GetTruncated() || len(newest.GetAnswer().GetBody()) != 40 || part.storedBytes != 80 {
@@ -92,11 +92,11 @@
 func FuzzApply(f *testing.F) {
 	f.Add(encodeClaim(claimBy("r", "k", 1)))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := NewStateMachine()
-		p.Apply(1, time.UnixMilli(1), data)
-		p.Apply(2, time.UnixMilli(2), data)
-		if p.Restore(data) == nil {
-			if _, err := p.Snapshot(); err != nil {
+		m := NewStateMachine()
+		m.Apply(1, time.UnixMilli(1), data)
+		m.Apply(2, time.UnixMilli(2), data)
+		if m.Restore(data) == nil {
+			if _, err := m.Snapshot(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/orders/statemachine.go
+++ b/internal/orders/statemachine.go
@@ -49,23 +49,23 @@
 // NewStateMachine returns a StateMachine without a lease holder and without
 // orders.
 func NewStateMachine() *StateMachine {
-	p := &StateMachine{}
-	p.state.Store(&State{Orders: make(map[string]*ordersv1.Order)})
-	return p
+	m := &StateMachine{}
+	m.state.Store(&State{Orders: make(map[string]*ordersv1.Order)})
+	return m
 }
 
 // State returns the current state.
-func (p *StateMachine) State() *State { return p.state.Load() }
+func (m *StateMachine) State() *State { return m.state.Load() }
 
 // Apply implements control.StateMachine.
-func (p *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
 	var c ordersv1.Command
-	next := p.State().clone(now)
+	next := m.State().clone(now)
 	accepted := proto.Unmarshal(body, &c) == nil && next.apply(&c, now)
 	if accepted {
-		p.state.Store(next)
+		m.state.Store(next)
 	}
-	response, err := proto.Marshal(&ordersv1.Answer{Accepted: accepted, Fence: p.State().FencingToken})
+	response, err := proto.Marshal(&ordersv1.Answer{Accepted: accepted, Fence: m.State().FencingToken})
 	if err != nil {
 		return nil
 	}
@@ -143,8 +143,8 @@
 }
 
 // Snapshot implements control.StateMachine.
-func (p *StateMachine) Snapshot() ([]byte, error) {
-	s := p.State()
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	s := m.State()
 	out := &ordersv1.Snapshot{Vm: s.VM, Incarnation: s.Incarnation, Fence: s.FencingToken}
 	for _, o := range s.Orders {
 		out.Orders = append(out.Orders, o)
@@ -154,7 +154,7 @@
 }
 
 // Restore implements control.StateMachine.
-func (p *StateMachine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var in ordersv1.Snapshot
 	if err := proto.Unmarshal(data, &in); err != nil {
 		return fmt.Errorf("decode snapshot of orders: %w", err)
@@ -163,6 +163,6 @@
 	for _, o := range in.GetOrders() {
 		s.Orders[o.GetId()] = o
 	}
-	p.state.Store(s)
+	m.state.Store(s)
 	return nil
 }
--- a/internal/prefix/intents.go
+++ b/internal/prefix/intents.go
@@ -29,46 +29,46 @@
 // are held by some target. It returns nil for the first such request, and for
 // later ones a channel that is closed when the first request has been placed or
 // its placement has timed out. It also returns nil if all blocks are held.
-func (i *Coalescer) Begin(chain []Hash, held int, now time.Time) <-chan struct{} {
+func (c *Coalescer) Begin(chain []Hash, held int, now time.Time) <-chan struct{} {
 	if held >= len(chain) {
 		return nil
 	}
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if p, ok := i.pending[chain[held]]; ok && now.Sub(p.started) < placementTimeout {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p, ok := c.pending[chain[held]]; ok && now.Sub(p.started) < placementTimeout {
 		return p.done
 	}
-	if p, ok := i.pending[chain[held]]; ok {
+	if p, ok := c.pending[chain[held]]; ok {
 		close(p.done)
 	}
-	i.pending[chain[held]] = &placement{now, make(chan struct{})}
+	c.pending[chain[held]] = &placement{now, make(chan struct{})}
 	return nil
 }
 
 // Complete ends the wait for all blocks of a chain.
-func (i *Coalescer) Complete(chain []Hash) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if len(i.pending) == 0 {
+func (c *Coalescer) Complete(chain []Hash) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.pending) == 0 {
 		return
 	}
 	for _, h := range chain {
-		if p, ok := i.pending[h]; ok {
+		if p, ok := c.pending[h]; ok {
 			close(p.done)
-			delete(i.pending, h)
+			delete(c.pending, h)
 		}
 	}
 }
 
 // Expire removes placements that did not complete within placementTimeout and
 // ends the wait for them.
-func (i *Coalescer) Expire(now time.Time) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	for h, p := range i.pending {
+func (c *Coalescer) Expire(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for h, p := range c.pending {
 		if now.Sub(p.started) >= placementTimeout {
 			close(p.done)
-			delete(i.pending, h)
+			delete(c.pending, h)
 		}
 	}
 }
--- a/internal/prefix/owner.go
+++ b/internal/prefix/owner.go
@@ -16,28 +16,28 @@
 
 // NewVMSet returns the set of VMs with the given names.
 func NewVMSet(names []string) *VMSet {
-	m := &VMSet{names: names}
+	s := &VMSet{names: names}
 	for _, name := range names {
-		m.hashes = append(m.hashes, xxhash.Sum64String(name))
+		s.hashes = append(s.hashes, xxhash.Sum64String(name))
 	}
-	return m
+	return s
 }
 
 // Names returns the names of the VMs.
-func (m *VMSet) Names() []string { return m.names }
+func (s *VMSet) Names() []string { return s.names }
 
 // Owner returns the VM that owns the chains beginning with root, or an empty
 // string if the set is empty.
-func (m *VMSet) Owner(root Hash) string { return m.highestScore(uint64(root)) }
+func (s *VMSet) Owner(root Hash) string { return s.highestScore(uint64(root)) }
 
 // Reader returns the VM that reads the event stream of a target.
-func (m *VMSet) Reader(targetID string) string { return m.highestScore(xxhash.Sum64String(targetID)) }
+func (s *VMSet) Reader(targetID string) string { return s.highestScore(xxhash.Sum64String(targetID)) }
 
-func (m *VMSet) highestScore(key uint64) string {
+func (s *VMSet) highestScore(key uint64) string {
 	best, name := uint64(0), ""
-	for i, h := range m.hashes {
-		if score := splitMix64(h ^ key); name == "" || score > best || (score == best && m.names[i] < name) {
-			best, name = score, m.names[i]
+	for i, h := range s.hashes {
+		if score := splitMix64(h ^ key); name == "" || score > best || (score == best && s.names[i] < name) {
+			best, name = score, s.names[i]
 		}
 	}
 	return name
@@ -68,13 +68,13 @@
 
 // SnapshotBatches returns the batches that start the stream at every owner with
 // the current content of the cache.
-func (f *EventPartitioner) SnapshotBatches(content []Event) map[string]Batch {
-	batches := make(map[string]Batch, len(f.members.names))
-	for _, name := range f.members.names {
-		batches[name] = Batch{Ref: f.ref, Stream: f.stream, Reset: true}
+func (p *EventPartitioner) SnapshotBatches(content []Event) map[string]Batch {
+	batches := make(map[string]Batch, len(p.members.names))
+	for _, name := range p.members.names {
+		batches[name] = Batch{Ref: p.ref, Stream: p.stream, Reset: true}
 	}
 	for _, e := range content {
-		owner := f.members.Owner(e.Root)
+		owner := p.members.Owner(e.Root)
 		b := batches[owner]
 		b.Events = append(b.Events, e)
 		batches[owner] = b
@@ -83,14 +83,14 @@
 }
 
 // Partition assigns events to their owners and numbers them.
-func (f *EventPartitioner) Partition(events []Event) map[string]Batch {
+func (p *EventPartitioner) Partition(events []Event) map[string]Batch {
 	batches := make(map[string]Batch)
 	for _, e := range events {
-		owner := f.members.Owner(e.Root)
-		f.sequences[owner]++
-		e.Sequence = f.sequences[owner]
+		owner := p.members.Owner(e.Root)
+		p.sequences[owner]++
+		e.Sequence = p.sequences[owner]
 		b := batches[owner]
-		b.Ref, b.Stream, b.LastSequence = f.ref, f.stream, e.Sequence
+		b.Ref, b.Stream, b.LastSequence = p.ref, p.stream, e.Sequence
 		b.Events = append(b.Events, e)
 		batches[owner] = b
 	}
@@ -99,11 +99,11 @@
 
 // GapBatches returns batches that report a gap to every owner, because the
 // owners of the missing events are unknown.
-func (f *EventPartitioner) GapBatches() map[string]Batch {
-	batches := make(map[string]Batch, len(f.members.names))
-	for _, name := range f.members.names {
-		f.sequences[name]++
-		batches[name] = Batch{Ref: f.ref, Stream: f.stream, LastSequence: f.sequences[name]}
+func (p *EventPartitioner) GapBatches() map[string]Batch {
+	batches := make(map[string]Batch, len(p.members.names))
+	for _, name := range p.members.names {
+		p.sequences[name]++
+		batches[name] = Batch{Ref: p.ref, Stream: p.stream, LastSequence: p.sequences[name]}
 	}
 	return batches
 }
--- a/internal/usage/statemachine.go
+++ b/internal/usage/statemachine.go
@@ -52,18 +52,18 @@
 }
 
 // Apply implements control.StateMachine.
-func (p *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
 	var c usagev1.Command
 	if err := proto.Unmarshal(body, &c); err != nil {
 		return []byte(answerMalformed)
 	}
-	p.compact(now)
+	m.compact(now)
 	switch k := c.GetKind().(type) {
 	case *usagev1.Command_Batch:
-		p.applyBatch(now, k.Batch)
+		m.applyBatch(now, k.Batch)
 		return []byte(answerCounted)
 	case *usagev1.Command_Query:
-		return p.query(k.Query)
+		return m.query(k.Query)
 	}
 	return []byte(answerMalformed)
 }
@@ -71,59 +71,59 @@
 // applyBatch adds a batch unless this or a later batch of the same incarnation
 // has been counted. A VM sends a batch only after the previous one is
 // acknowledged, so no batch is skipped.
-func (p *StateMachine) applyBatch(now time.Time, b *usagev1.Batch) {
+func (m *StateMachine) applyBatch(now time.Time, b *usagev1.Batch) {
 	from := senderKey{b.GetVm(), b.GetIncarnation()}
-	if b.GetSequence() <= p.senders[from].lastSequence {
+	if b.GetSequence() <= m.senders[from].lastSequence {
 		return
 	}
-	p.senders[from] = sender{b.GetSequence(), now.UnixMilli()}
+	m.senders[from] = sender{b.GetSequence(), now.UnixMilli()}
 	for _, t := range b.GetTotals() {
-		p.add(fromTotal(t))
+		m.add(fromTotal(t))
 	}
 }
 
-func (p *StateMachine) add(k totalKey, s counts) {
-	held, ok := p.totals[k]
+func (m *StateMachine) add(k totalKey, s counts) {
+	held, ok := m.totals[k]
 	if !ok {
 		held = new(counts)
-		p.totals[k] = held
+		m.totals[k] = held
 	}
 	held.add(s)
 }
 
 // compact merges old hourly totals into daily ones, and drops old daily totals
 // and senders. It runs at most once per hour.
-func (p *StateMachine) compact(now time.Time) {
+func (m *StateMachine) compact(now time.Time) {
 	hour := now.Unix() / secondsPerHour
-	if hour <= p.lastCompaction {
+	if hour <= m.lastCompaction {
 		return
 	}
-	p.lastCompaction = hour
-	for k, s := range p.totals {
+	m.lastCompaction = hour
+	for k, s := range m.totals {
 		switch {
 		case k.hour < hour-dailyRetentionHours:
-			delete(p.totals, k)
+			delete(m.totals, k)
 		case k.hours == 1 && k.hour < hour-hourlyRetentionHours:
-			delete(p.totals, k)
-			p.add(totalKey{k.workspace, k.model, k.hour - k.hour%hoursPerDay, hoursPerDay}, *s)
+			delete(m.totals, k)
+			m.add(totalKey{k.workspace, k.model, k.hour - k.hour%hoursPerDay, hoursPerDay}, *s)
 		}
 	}
-	for from, s := range p.senders {
+	for from, s := range m.senders {
 		if now.Sub(time.UnixMilli(s.lastBatchMs)) > senderRetention {
-			delete(p.senders, from)
+			delete(m.senders, from)
 		}
 	}
 }
 
-func (p *StateMachine) query(q *usagev1.Query) []byte {
+func (m *StateMachine) query(q *usagev1.Query) []byte {
 	out := &usagev1.Totals{}
-	for _, k := range sortedKeys(p.totals) {
+	for _, k := range sortedKeys(m.totals) {
 		late := q.GetToHour() != 0 && k.hour >= q.GetToHour()
 		if k.hour+int64(k.hours) <= q.GetFromHour() || late {
 			continue
 		}
 		if q.GetWorkspace() == "" || q.GetWorkspace() == k.workspace {
-			out.Totals = append(out.Totals, toTotal(k, *p.totals[k]))
+			out.Totals = append(out.Totals, toTotal(k, *m.totals[k]))
 		}
 	}
 	data, err := proto.Marshal(out)
@@ -134,12 +134,12 @@
 }
 
 // Snapshot implements control.StateMachine.
-func (p *StateMachine) Snapshot() ([]byte, error) {
-	s := &usagev1.Snapshot{MergedHour: p.lastCompaction}
-	for _, k := range sortedKeys(p.totals) {
-		s.Totals = append(s.Totals, toTotal(k, *p.totals[k]))
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	s := &usagev1.Snapshot{MergedHour: m.lastCompaction}
+	for _, k := range sortedKeys(m.totals) {
+		s.Totals = append(s.Totals, toTotal(k, *m.totals[k]))
 	}
-	for from, last := range p.senders {
+	for from, last := range m.senders {
 		s.Senders = append(s.Senders, &usagev1.Sender{
 			Vm: from.vm, Incarnation: from.incarnation, Sequence: last.lastSequence, TimeMs: last.lastBatchMs,
 		})
@@ -155,7 +155,7 @@
 }
 
 // Restore implements control.StateMachine.
-func (p *StateMachine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var s usagev1.Snapshot
 	if err := proto.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("decode usage snapshot: %w", err)
@@ -168,6 +168,6 @@
 	for _, from := range s.GetSenders() {
 		restored.senders[senderKey{from.GetVm(), from.GetIncarnation()}] = sender{from.GetSequence(), from.GetTimeMs()}
 	}
-	*p = *restored
+	*m = *restored
 	return nil
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -128,16 +128,16 @@
 // Guards against totals that change when old hours are merged into days, and
 // against a state that grows without limit.
 func TestOldHoursBecomeDays(t *testing.T) {
-	p := NewStateMachine()
+	m := NewStateMachine()
 	start := time.Unix(1_700_000_000, 0)
 	for hour := range 200 {
 		now := start.Add(time.Duration(hour) * time.Hour)
 		total := toTotal(totalKey{"w", "m", now.Unix() / secondsPerHour, 1}, counts{1, 1, 1, 1})
-		p.applyBatch(now, &usagev1.Batch{Vm: "vm-1", Incarnation: 1, Sequence: uint64(hour + 1), Totals: []*usagev1.Total{total}})
-		p.compact(now)
+		m.applyBatch(now, &usagev1.Batch{Vm: "vm-1", Incarnation: 1, Sequence: uint64(hour + 1), Totals: []*usagev1.Total{total}})
+		m.compact(now)
 	}
 	var got usagev1.Totals
-	if err := proto.Unmarshal(p.query(&usagev1.Query{Workspace: "w"}), &got); err != nil {
+	if err := proto.Unmarshal(m.query(&usagev1.Query{Workspace: "w"}), &got); err != nil {
 		t.Fatal(err)
 	}
 	var requests uint64
@@ -147,15 +147,15 @@
 	if requests != 200 || len(got.GetTotals()) > hourlyRetentionHours+10 {
 		t.Fatalf("%d requests in %d totals, want 200 requests", requests, len(got.GetTotals()))
 	}
-	p.compact(start.Add(100 * 24 * time.Hour))
-	if len(p.totals) != 0 || len(p.senders) != 0 {
-		t.Fatalf("%d totals and %d senders are left after 100 days", len(p.totals), len(p.senders))
+	m.compact(start.Add(100 * 24 * time.Hour))
+	if len(m.totals) != 0 || len(m.senders) != 0 {
+		t.Fatalf("%d totals and %d senders are left after 100 days", len(m.totals), len(m.senders))
 	}
 }
 
 // BenchmarkApplyBatch measures one batch of 1,000 totals.
 func BenchmarkApplyBatch(b *testing.B) {
-	p := NewStateMachine()
+	m := NewStateMachine()
 	batch := &usagev1.Batch{Vm: "vm-1", Incarnation: 1}
 	for w := range maxBatchTotals {
 		batch.Totals = append(batch.Totals, toTotal(totalKey{fmt.Sprint("workspace-", w), "gutachter", 472222, 1}, counts{5, 20000, 900, 3}))
@@ -167,7 +167,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		p.Apply(1, now, body)
+		m.Apply(1, now, body)
 		b.ReportMetric(float64(len(body)), "B/batch")
 	}
 }
