--- a/internal/orders/lease.go
+++ b/internal/orders/lease.go
@@ -26,7 +26,7 @@
 }
 
 // NewLease returns a new lease. Sent is a time before the acquire command was
-// proposed, answered a time after it was committed.
+// proposed, committed a time after its commit.
 func NewLease(fencingToken uint64, sent, committed time.Time) Lease {
 	// The former holder's last renewal was committed before this command and
 	// proposed even earlier. Either clock may drift by driftPermille.
