--- a/internal/keys/keys.go
+++ b/internal/apikeys/keys.go
@@ -1,7 +1,7 @@
-// Package keys handles the API keys of callers. A key exists in plain text only
-// in the caller's request and in the output of "cuminwing keys new". Everything
-// else uses its SHA-256 hash.
-package keys
+// Package apikeys handles the API keys of callers. A key exists in plain text
+// only in the caller's request and in the output of "cuminwing keys new".
+// Everything else uses its SHA-256 hash.
+package apikeys
 
 import (
 	"crypto/rand"
@@ -34,8 +34,8 @@
 	return Prefix + base64.RawURLEncoding.EncodeToString(buf), nil
 }
 
-// Sum returns the hash of key.
-func Sum(key string) Hash {
+// HashKey returns the hash of key.
+func HashKey(key string) Hash {
 	return sha256.Sum256([]byte(key))
 }
 
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -96,7 +96,7 @@
 	caller := &loadgen.Caller{
 		Client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 		URLs:         cluster.callerURLs(),
-		ExpectedText: standin.Answer,
+		ExpectedText: standin.ExpectedResponse,
 	}
 	if err := cluster.waitReady(ctx); err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 	return &summary, nil
 }
 
-// profileEngines returns the options of a profile's stand-in engines. Block
+// profileEngines returns the options of a profile's simulated engines. Block
 // size and prefill speed are both a tenth of the real ones, which keeps their
 // ratio.
 func profileEngines(p *loadgen.Profile) []standin.EngineOptions {
@@ -137,11 +137,11 @@
 					Zone: zone, Region: p.Zones[zone].Region, Model: m.Name, Version: "v1",
 					TokenInterval: loadEngineTokenInterval, BatchSlots: engineBatchSlots,
 					Cache: standin.CacheOptions{
-						Blocks:                 m.PromptBlocks * cachePrompts,
+						CapacityBlocks:         m.PromptBlocks * cachePrompts,
 						BlockTokens:            loadgen.BlockTokens,
 						PrefillTokensPerSecond: loadgen.PrefillRate,
 						EventLag:               200 * time.Millisecond,
-						EventLoss:              0.01,
+						EventLossRate:          0.01,
 						LoadLag:                500 * time.Millisecond,
 					},
 				})
--- a/internal/control/sections/part.go
+++ b/internal/control/configstate/statemachine.go
@@ -1,4 +1,4 @@
-package sections
+package configstate
 
 import (
 	"crypto/sha256"
@@ -21,61 +21,62 @@
 // and thereby what the edit adds to the replicated state.
 const maxProblems = 100
 
-// Part is the replicated configuration state. Only the goroutine that applies
-// the log may call Apply, Snapshot and Restore; any goroutine may call State.
-type Part struct {
+// StateMachine is the replicated configuration state. Only the goroutine that
+// applies the log may call Apply, Snapshot and Restore; any goroutine may call
+// State.
+type StateMachine struct {
 	state    atomic.Pointer[State]
 	onChange func()
-	// checker validates changes against the document in state.
-	checker *config.Checker
+	// validator validates changes against the document in state.
+	validator *config.IncrementalValidator
 
 	results map[string]*configv1.EditResult
 	// resultOrder lists the edit IDs in results, oldest first.
 	resultOrder []string
 }
 
-// NewPart returns a Part with an empty document. It calls onChange each time the
-// state is replaced.
-func NewPart(onChange func()) *Part {
-	p := &Part{onChange: onChange, results: make(map[string]*configv1.EditResult)}
-	p.state.Store(NewState())
-	p.checker = config.NewChecker(config.Document{})
-	return p
+// NewStateMachine returns a StateMachine with an empty document. It calls
+// onChange each time the state is replaced.
+func NewStateMachine(onChange func()) *StateMachine {
+	m := &StateMachine{onChange: onChange, results: make(map[string]*configv1.EditResult)}
+	m.state.Store(NewState())
+	m.validator = config.NewIncrementalValidator(config.Document{})
+	return m
 }
 
 // State returns the state after the last applied command.
-func (p *Part) State() *State { return p.state.Load() }
+func (m *StateMachine) State() *State { return m.state.Load() }
 
-// Apply implements control.Part. The response is an encoded EditResult.
-func (p *Part) Apply(index uint64, now time.Time, body []byte) []byte {
+// Apply implements control.StateMachine. The response is an encoded EditResult.
+func (m *StateMachine) Apply(index uint64, now time.Time, body []byte) []byte {
 	var edit configv1.Edit
 	if err := proto.Unmarshal(body, &edit); err != nil {
 		return encodeResult(setInvalid(&configv1.EditResult{}, config.Problem{Path: "$", Reason: "edit cannot be decoded"}))
 	}
-	return encodeResult(p.apply(index, now, &edit, fingerprint(body)))
+	return encodeResult(m.apply(index, now, &edit, fingerprint(body)))
 }
 
-func (p *Part) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
-	if stored, ok := p.results[edit.GetId()]; ok {
+func (m *StateMachine) apply(index uint64, now time.Time, edit *configv1.Edit, bodyFingerprint uint64) *configv1.EditResult {
+	if stored, ok := m.results[edit.GetId()]; ok {
 		if stored.GetFingerprint() == bodyFingerprint {
 			return stored
 		}
 		return &configv1.EditResult{EditId: edit.GetId(), Outcome: configv1.Outcome_OUTCOME_ID_REUSED, Revision: stored.GetRevision()}
 	}
-	result := &configv1.EditResult{EditId: edit.GetId(), Revision: p.State().Revision, Fingerprint: bodyFingerprint}
-	p.execute(index, now, edit, result)
+	result := &configv1.EditResult{EditId: edit.GetId(), Revision: m.State().Revision, Fingerprint: bodyFingerprint}
+	m.execute(index, now, edit, result)
 	if edit.GetId() != "" {
-		p.storeResult(result)
+		m.storeResult(result)
 	}
 	return result
 }
 
-func (p *Part) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
+func (m *StateMachine) execute(index uint64, now time.Time, edit *configv1.Edit, result *configv1.EditResult) {
 	if problems := validateEdit(edit); len(problems) > 0 {
 		setInvalid(result, problems...)
 		return
 	}
-	current := p.State()
+	current := m.State()
 	if conflicts := current.conflicts(edit); len(conflicts) > 0 {
 		result.Outcome = configv1.Outcome_OUTCOME_CONFLICT
 		result.Conflicts = conflicts
@@ -84,7 +85,7 @@
 	change := &configv1.Change{Revision: index, Previous: current.Revision, TimeMs: now.UnixMilli(), Edit: edit}
 	next, changed, problems := current.merge(change, decodeAndCheckSchema)
 	if len(problems) == 0 {
-		problems = p.checker.Check(current.Document, next.Document, changed)
+		problems = m.validator.Validate(current.Document, next.Document, changed)
 	}
 	if len(problems) > 0 {
 		setInvalid(result, problems...)
@@ -92,9 +93,9 @@
 	}
 	result.Outcome = configv1.Outcome_OUTCOME_ACCEPTED
 	result.Revision = index
-	p.checker.Accept(current.Document, next.Document, changed)
-	p.state.Store(next)
-	p.onChange()
+	m.validator.Apply(current.Document, next.Document, changed)
+	m.state.Store(next)
+	m.onChange()
 }
 
 func validateEdit(edit *configv1.Edit) []config.Problem {
@@ -107,7 +108,7 @@
 	}
 	seen := make(map[string]bool)
 	for _, s := range edit.GetSections() {
-		if !config.KnownSection(config.Section(s.GetSection())) {
+		if !config.IsSection(config.Section(s.GetSection())) {
 			problems = append(problems, config.Problem{Path: s.GetSection(), Reason: "is not a section of the document"})
 		}
 		if seen[s.GetSection()] {
@@ -136,26 +137,26 @@
 	return conflicts
 }
 
-func (p *Part) storeResult(result *configv1.EditResult) {
-	p.results[result.GetEditId()] = result
-	p.resultOrder = append(p.resultOrder, result.GetEditId())
-	if len(p.resultOrder) > MaxResults {
-		delete(p.results, p.resultOrder[0])
-		p.resultOrder = p.resultOrder[1:]
+func (m *StateMachine) storeResult(result *configv1.EditResult) {
+	m.results[result.GetEditId()] = result
+	m.resultOrder = append(m.resultOrder, result.GetEditId())
+	if len(m.resultOrder) > MaxResults {
+		delete(m.results, m.resultOrder[0])
+		m.resultOrder = m.resultOrder[1:]
 	}
 }
 
-// Snapshot implements control.Part.
-func (p *Part) Snapshot() ([]byte, error) {
-	message := p.State().toProto()
-	for _, id := range p.resultOrder {
-		message.Results = append(message.Results, p.results[id])
+// Snapshot implements control.StateMachine.
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	message := m.State().toProto()
+	for _, id := range m.resultOrder {
+		message.Results = append(message.Results, m.results[id])
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(message)
 }
 
-// Restore implements control.Part.
-func (p *Part) Restore(data []byte) error {
+// Restore implements control.StateMachine.
+func (m *StateMachine) Restore(data []byte) error {
 	var message configv1.State
 	if err := proto.Unmarshal(data, &message); err != nil {
 		return fmt.Errorf("decode configuration snapshot: %w", err)
@@ -164,14 +165,14 @@
 	if err != nil {
 		return err
 	}
-	p.results = make(map[string]*configv1.EditResult, len(message.GetResults()))
-	p.resultOrder = nil
+	m.results = make(map[string]*configv1.EditResult, len(message.GetResults()))
+	m.resultOrder = nil
 	for _, result := range message.GetResults() {
-		p.storeResult(result)
+		m.storeResult(result)
 	}
-	p.checker = config.NewChecker(state.Document)
-	p.state.Store(state)
-	p.onChange()
+	m.validator = config.NewIncrementalValidator(state.Document)
+	m.state.Store(state)
+	m.onChange()
 	return nil
 }
 
--- a/internal/control/keyset/part_test.go
+++ b/internal/control/withdrawnkeys/statemachine_test.go
@@ -1,23 +1,23 @@
-package keyset
+package withdrawnkeys
 
 import (
 	"testing"
 	"time"
 
-	"github.com/cuminwing/cuminwing/internal/keys"
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 )
 
 // Guards against losing a withdrawal when a snapshot is taken and restored.
 func TestWithdrawalsSurviveSnapshot(t *testing.T) {
-	withdrawn := keys.NewWithdrawn()
-	p := NewPart(func(h []keys.Hash) { withdrawn.Add(h...) })
-	h := keys.Sum("cw-leaked")
-	p.Apply(1, time.Time{}, EncodeWithdrawal([]keys.Hash{h}))
-	data, err := p.Snapshot()
+	withdrawn := apikeys.NewWithdrawnSet()
+	m := NewStateMachine(func(h []apikeys.Hash) { withdrawn.Add(h...) })
+	h := apikeys.HashKey("cw-leaked")
+	m.Apply(1, time.Time{}, EncodeWithdrawal([]apikeys.Hash{h}))
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewPart(func([]keys.Hash) {})
+	restored := NewStateMachine(func([]apikeys.Hash) {})
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 }
 
 func FuzzDecodeWithdrawal(f *testing.F) {
-	f.Add(EncodeWithdrawal([]keys.Hash{keys.Sum("a")}))
+	f.Add(EncodeWithdrawal([]apikeys.Hash{apikeys.HashKey("a")}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		hashes, err := DecodeWithdrawal(data)
 		if err != nil {
--- a/internal/daemon/access_test.go
+++ b/internal/daemon/access_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
 // Guards against model requests that run without a key, with an unknown key, or
@@ -17,7 +17,7 @@
 	grade := document.Routes["grade"]
 	grade.Workspaces = []string{"yards"}
 	document.Routes["grade"] = grade
-	document.Workspaces["other"] = config.Workspace{Keys: []config.Key{{ID: "k", SHA256: keys.Sum(otherKey).String()}}}
+	document.Workspaces["other"] = config.Workspace{Keys: []config.Key{{ID: "k", SHA256: apikeys.HashKey(otherKey).String()}}}
 	document.Rates["other"] = document.Rates["yards"]
 	vm := startVM(t, "muc-a", document)
 	engine := startEngine(t, "e1", false, vm)
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := readAnswer(resp, func(int) {})
+		got := readResponse(resp, func(int) {})
 		if got.status != c.status || got.header.Get("Cuminwing-Run") != "not-run" {
 			t.Errorf("%s: status %d, run %q", c.desc, got.status, got.header.Get("Cuminwing-Run"))
 		}
@@ -41,11 +41,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if models := readAnswer(list, func(int) {}); strings.Contains(models.body, testModel) {
+		if models := readResponse(list, func(int) {}); strings.Contains(models.body, testModel) {
 			t.Errorf("%s: the model is listed", c.desc)
 		}
 	}
-	if n := engine.Started(); n != 0 {
+	if n := engine.RequestCount(); n != 0 {
 		t.Errorf("the engine started %d requests, want none", n)
 	}
 	if got := ask(t, vm, "dossier", 5, nil); !got.complete() {
--- a/internal/daemon/broadcast.go
+++ b/internal/daemon/broadcast.go
@@ -9,7 +9,7 @@
 )
 
 // maxConcurrentCalls limits the concurrent calls of one broadcast. It exceeds
-// the 350 VMs of the design size, so that VMs that do not answer do not use up
+// the 350 VMs of the design size, so that VMs that do not respond do not use up
 // the time for the others.
 const maxConcurrentCalls = 512
 
@@ -32,14 +32,14 @@
 			continue
 		}
 		known[m.VM] = true
-		_, voter := n.settings.Voters[m.VM]
+		_, voter := n.settings.InitialVoters[m.VM]
 		p := peer{m.VM, m.Zone, m.Region, m.PeerAddress, voter || m.Voter}
 		peers = append(peers, p)
 		if p.voter {
 			n.seenVoters.Store(p.vm, p)
 		}
 	}
-	for vm, address := range n.settings.Voters {
+	for vm, address := range n.settings.InitialVoters {
 		if known[vm] {
 			continue
 		}
@@ -121,7 +121,7 @@
 	group.Wait()
 }
 
-// pollPeers asks every other VM for a confirmation and counts the answers by
+// pollPeers asks every other VM for a confirmation and counts the responses by
 // zone. confirm returns the zone that the VM states, and whether it confirmed.
 func (n *Node) pollPeers(ctx context.Context, self bool, confirm func(ctx context.Context, p peer) (string, bool)) []*adminv1.ZoneReach {
 	tally := n.newTally()
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/cuminwing/cuminwing/internal/adapter/statefile"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/control/sections"
+	"github.com/cuminwing/cuminwing/internal/control/configstate"
 	"github.com/cuminwing/cuminwing/internal/settings"
 	adminv1 "github.com/cuminwing/cuminwing/proto/admin/v1"
 	configv1 "github.com/cuminwing/cuminwing/proto/config/v1"
@@ -55,7 +55,7 @@
 	await(t, "isolated VM catches up", func() bool { return isolated.Snapshot().Revision == revision })
 }
 
-// Guards against a resent edit that is applied twice after a lost answer, and
+// Guards against a resent edit that is applied twice after a lost response, and
 // against two concurrent edits of the same section that are both accepted.
 func TestRacingAndResentEdits(t *testing.T) {
 	c := newTestCluster(t, 2, 2)
@@ -63,7 +63,7 @@
 	b := c.start(1, "muc-a", nil)
 	base := requireAccepted(t, applyFirst(t, a, clusterDocument("")))
 	c.log.mu.Lock()
-	c.log.lostAnswers = 1
+	c.log.lostResponses = 1
 	c.log.mu.Unlock()
 	edit := rateEdit("lost", base, 20)
 	if _, err := adminClientOf(a).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit}); err == nil {
@@ -95,7 +95,7 @@
 }
 
 // Guards against a VM with a data folder that cannot serve until a voter
-// answers, and against serving a corrupt state file.
+// responds, and against serving a corrupt state file.
 func TestStartWhileNoVoterAnswers(t *testing.T) {
 	c := newTestCluster(t, 2, 1)
 	voter := c.start(0, "muc-a", nil)
@@ -147,7 +147,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, ok := voter.distribution.part.State().Since(base); !ok {
+	if _, ok := voter.distribution.stateMachine.State().Since(base); !ok {
 		t.Fatal("the history does not cover the revision of the isolated VM")
 	}
 	c.partition(2, false)
@@ -208,19 +208,19 @@
 	if got := b.Snapshot().Document.Rates["yards"].RateTokensPerSecond; got != 77 {
 		t.Fatalf("rate is %v after the restart, want 77 as in the later edit", got)
 	}
-	if len(a.distribution.part.State().History()) != 2 {
-		t.Fatalf("%d edits were accepted, want 2", len(a.distribution.part.State().History()))
+	if len(a.distribution.stateMachine.State().History()) != 2 {
+		t.Fatalf("%d edits were accepted, want 2", len(a.distribution.stateMachine.State().History()))
 	}
 }
 
 // Guards against an initial edit whose document differs from the document file.
 func TestFirstEditGivesSameDocument(t *testing.T) {
 	want := clusterDocument(config.UnconfirmedRefuse)
-	edit, err := sections.FirstEdit("first", want)
+	edit, err := configstate.InitialEdit("first", want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := sections.NewState().Apply(&configv1.Change{Revision: 1, Edit: edit})
+	s, err := configstate.NewState().Apply(&configv1.Change{Revision: 1, Edit: edit})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/indexrpc.go
+++ b/internal/daemon/indexrpc.go
@@ -21,7 +21,7 @@
 	// same prefix has been placed. It leaves time for the round trip within
 	// lookupTimeout.
 	coalesceWait = 3 * time.Millisecond
-	// peerRetryDelay is how long lookups skip an owner that did not answer.
+	// peerRetryDelay is how long lookups skip an owner that did not respond.
 	peerRetryDelay = 500 * time.Millisecond
 	// publishTimeout limits one publication of cache events. A failed
 	// publication causes a resync.
@@ -103,7 +103,7 @@
 	}
 }
 
-// Lookup implements routing.Lookup. It asks the owner of the chain.
+// Lookup implements routing.OwnerLookup. It asks the owner of the chain.
 func (r *regionIndex) Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
 	peers := r.peers.Load()
 	owner := peers.owners.Owner(chain[0])
@@ -118,13 +118,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.lookupTimeout)
 	defer cancel()
-	answer, err := peer.client.Lookup(ctx, &indexv1.LookupRequest{Blocks: encodeHashes(chain)})
+	response, err := peer.client.Lookup(ctx, &indexv1.LookupRequest{Blocks: encodeHashes(chain)})
 	if err != nil {
 		peer.retryAt.Store(now.Add(peerRetryDelay).UnixNano())
 		return nil, false
 	}
-	holdings := make([]prefix.Holding, 0, len(answer.Holdings))
-	for _, h := range answer.Holdings {
+	holdings := make([]prefix.Holding, 0, len(response.Holdings))
+	for _, h := range response.Holdings {
 		holdings = append(holdings, prefix.Holding{Ref: decodeRef(h.Target), Blocks: int(h.Blocks)})
 	}
 	return holdings, true
@@ -133,7 +133,7 @@
 // coalesce waits while another request for the same uncached prefix is being
 // placed.
 func (r *regionIndex) coalesce(ctx context.Context, chain []prefix.Hash) {
-	placed := r.intents.Begin(chain, r.local.Longest(chain), r.node.clock())
+	placed := r.coalescer.Begin(chain, r.local.LongestMatch(chain), r.node.clock())
 	if placed == nil {
 		return
 	}
@@ -177,8 +177,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	answer, err := peer.client.Publish(ctx, req)
-	return err == nil && len(answer.Resync) == 0
+	response, err := peer.client.Publish(ctx, req)
+	return err == nil && len(response.Resync) == 0
 }
 
 // indexServer implements indexv1.IndexService for one VM.
@@ -186,17 +186,17 @@
 
 // Publish implements indexv1.IndexService.
 func (s indexServer) Publish(_ context.Context, req *indexv1.PublishRequest) (*indexv1.PublishResponse, error) {
-	answer := &indexv1.PublishResponse{}
+	response := &indexv1.PublishResponse{}
 	for _, b := range req.Batches {
 		if s.index.local.Apply(decodeBatch(b)) {
-			answer.Resync = append(answer.Resync, b.Target.GetId())
+			response.Resync = append(response.Resync, b.Target.GetId())
 		}
 	}
 	for _, d := range req.Dispatches {
 		s.applyDispatch(d)
 	}
 	s.applyLoads(req.Loads)
-	return answer, nil
+	return response, nil
 }
 
 // applyDispatch adds the dispatch of another VM to the load estimate and, for
@@ -204,7 +204,7 @@
 func (s indexServer) applyDispatch(d *indexv1.Dispatch) {
 	ref := decodeRef(d.Target)
 	if !d.Failed {
-		s.index.picker.Elsewhere(ref, time.Duration(d.WorkUs)*time.Microsecond)
+		s.index.picker.AddPeerDispatch(ref, time.Duration(d.WorkUs)*time.Microsecond)
 	}
 	if len(d.Blocks) == 0 || len(d.Blocks) > prefix.MaxBlocks {
 		return
@@ -215,7 +215,7 @@
 		return
 	}
 	s.index.local.Predict(ref, chain, int(d.Held))
-	s.index.intents.Placed(chain)
+	s.index.coalescer.Complete(chain)
 }
 
 // applyLoads passes load reports from other zones to the picker.
@@ -226,19 +226,19 @@
 	}
 	for _, l := range loads {
 		load := target.Load{Running: int(l.Running), Waiting: int(l.Waiting), QueuedPrefillTokens: int(l.QueuedPrefillTokens)}
-		s.index.picker.Report(decodeRef(l.Target), load, snap)
+		s.index.picker.ApplyLoadReport(decodeRef(l.Target), load, snap)
 	}
 }
 
 // Lookup implements indexv1.IndexService.
 func (s indexServer) Lookup(ctx context.Context, req *indexv1.LookupRequest) (*indexv1.LookupResponse, error) {
-	answer := &indexv1.LookupResponse{}
+	response := &indexv1.LookupResponse{}
 	chain := decodeHashes(req.Blocks)
 	s.index.coalesce(ctx, chain)
 	for _, h := range s.index.local.Lookup(nil, chain) {
-		answer.Holdings = append(answer.Holdings, &indexv1.Holding{Target: encodeRef(h.Ref), Blocks: uint32(h.Blocks)})
+		response.Holdings = append(response.Holdings, &indexv1.Holding{Target: encodeRef(h.Ref), Blocks: uint32(h.Blocks)})
 	}
-	return answer, nil
+	return response, nil
 }
 
 func encodeRef(ref target.Ref) *indexv1.Target {
@@ -266,7 +266,7 @@
 }
 
 func encodeBatch(b prefix.Batch) *indexv1.Batch {
-	out := &indexv1.Batch{Target: encodeRef(b.Ref), Stream: b.Stream, Reset_: b.Reset, Through: b.Through}
+	out := &indexv1.Batch{Target: encodeRef(b.Ref), Stream: b.Stream, Reset_: b.Reset, Through: b.LastSequence}
 	for _, e := range b.Events {
 		kind := indexv1.EventKind_EVENT_KIND_STORED
 		if e.Kind == prefix.Evicted {
@@ -278,7 +278,7 @@
 }
 
 func decodeBatch(b *indexv1.Batch) prefix.Batch {
-	out := prefix.Batch{Ref: decodeRef(b.Target), Stream: b.Stream, Reset: b.Reset_, Through: b.Through}
+	out := prefix.Batch{Ref: decodeRef(b.Target), Stream: b.Stream, Reset: b.Reset_, LastSequence: b.Through}
 	for _, e := range b.Events {
 		kind := prefix.Stored
 		if e.Kind == indexv1.EventKind_EVENT_KIND_EVICTED {
--- a/internal/daemon/usage.go
+++ b/internal/daemon/usage.go
@@ -21,10 +21,10 @@
 	usageFinalFlushTimeout = 5 * time.Second
 )
 
-// startUsage registers usage accounting as a replicated part and serves usage
+// startUsage registers usage accounting as a state machine and serves usage
 // reports.
 func (n *Node) startUsage() error {
-	n.parts[control.KindUsage] = usage.NewPart()
+	n.stateMachines[control.KindUsage] = usage.NewStateMachine()
 	n.ledger = usage.NewLedger(n.settings.VM, n.incarnation, n.clock)
 	service := usagev1.NewUsageServiceServer(usageServer{n})
 	n.adminMux.Handle(service.PathPrefix(), service)
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	answer, err := s.node.log.Propose(ctx, control.KindUsage, body)
+	response, err := s.node.log.Propose(ctx, control.KindUsage, body)
 	if errors.Is(err, control.ErrNotCommitted) || errors.Is(err, control.ErrUncertain) {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
@@ -83,7 +83,7 @@
 		return nil, twirp.InternalErrorWith(err)
 	}
 	var totals usagev1.Totals
-	if err := proto.Unmarshal(answer, &totals); err != nil {
+	if err := proto.Unmarshal(response, &totals); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	return &totals, nil
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -15,10 +15,10 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/metrics"
 	"github.com/cuminwing/cuminwing/internal/adapter/targetconn"
 	"github.com/cuminwing/cuminwing/internal/fleet"
-	"github.com/cuminwing/cuminwing/internal/forward"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/pause"
 	"github.com/cuminwing/cuminwing/internal/placement"
+	"github.com/cuminwing/cuminwing/internal/proxy"
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
@@ -37,7 +37,7 @@
 	initialStateTimeout = 3 * time.Second
 	coreRecoveryTimeout = time.Second
 	// initialSyncWait limits how long a starting front waits for the state
-	// before it accepts connections. Without the state, clients are told to
+	// before it accepts connections. Without the state, callers are told to
 	// retry.
 	initialSyncWait = 400 * time.Millisecond
 	// drainDelay is the time from failing the readiness check to closing the
@@ -55,11 +55,11 @@
 	// defaultMaxHeaderBytes limits the headers of a request if the document
 	// sets no limit.
 	defaultMaxHeaderBytes = 64 << 10
-	// idleTimeoutMargin is added to the idle timeout of client connections. It
+	// idleTimeoutMargin is added to the idle timeout of caller connections. It
 	// avoids the race between a new request and the close of an idle
 	// connection.
 	idleTimeoutMargin = 2 * time.Second
-	// defaultIdleTimeout is the idle timeout of client connections if the
+	// defaultIdleTimeout is the idle timeout of caller connections if the
 	// document sets none.
 	defaultIdleTimeout = 15 * time.Second
 	// defaultHeaderTimeout limits the time to read the headers of a request if
@@ -67,17 +67,17 @@
 	defaultHeaderTimeout = 3 * time.Second
 )
 
-// Front is a front process: it accepts requests from clients and forwards them
+// Front is a front process: it accepts requests from callers and forwards them
 // to targets.
 type Front struct {
 	settings Settings
 	logger   *zap.Logger
-	decode   Decoder
+	decode   DocumentDecoder
 	placer   *placement.Placer
-	shares   *ratelimit.Shares
+	shares   *ratelimit.ShareLimiter
 	pool     *targetconn.Pool
 	counters *metrics.Set
-	handler  *forward.Handler
+	handler  *proxy.Handler
 	client   *http.Client
 	// incarnation identifies this run of the process: its start in Unix
 	// milliseconds.
@@ -86,7 +86,7 @@
 	// use as well.
 	startedAt time.Duration
 
-	state        atomic.Pointer[forward.State]
+	state        atomic.Pointer[proxy.State]
 	registry     *fleet.State
 	peers        *frontPeers
 	staleWeights *staleWeightsFilter
@@ -109,8 +109,8 @@
 // FrontOptions are the dependencies of a front process.
 type FrontOptions struct {
 	Logger *zap.Logger
-	Decode Decoder
-	Codec  forward.Codec
+	Decode DocumentDecoder
+	Codec  proxy.Codec
 }
 
 // RunFront runs a front process until ctx is done. It returns after the requests
@@ -148,8 +148,8 @@
 		settings: s, logger: options.Logger, decode: options.Decode,
 		placer:       placement.New(s.Zone, s.Region, time.Now),
 		peers:        &frontPeers{},
-		staleWeights: newStaleWeightsFilter(s.Bounds.Weights - staleWeightsMargin),
-		shares:       ratelimit.NewShares(s.Bounds.Quota),
+		staleWeights: newStaleWeightsFilter(s.Guarantees.StaleWeights - staleWeightsMargin),
+		shares:       ratelimit.NewShareLimiter(s.Guarantees.Quota),
 		pool:         targetconn.New(),
 		counters:     metrics.New(s.VM),
 		client:       peerClient(),
@@ -158,25 +158,25 @@
 		registry:     fleet.NewState(),
 		synced:       make(chan struct{}),
 	}
-	f.counters.Gauge("connections_opened", func() any { return f.pool.Opened() })
+	f.counters.Gauge("connections_opened", func() any { return f.pool.OpenedConnections() })
 	f.counters.Gauge("confirmed_age_ms", func() any { return (boottime.Now() - f.state.Load().Confirmed).Milliseconds() })
-	f.state.Store(&forward.State{Confirmed: -time.Hour})
-	f.handler = &forward.Handler{
+	f.state.Store(&proxy.State{Confirmed: -time.Hour})
+	f.handler = &proxy.Handler{
 		Codec: options.Codec, State: f.servingState,
-		Placer: f.placer, Quota: f.shares, Pool: f.pool, Logger: f.logger, Boot: boottime.Now,
-		KeysValid: s.Bounds.Revoke - keyValidityMargin, StateSoon: f.stateExpected, Stopping: f.stopping.Load, Observe: f.recordRequest,
-		Budget: &forward.Budget{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow},
+		Placer: f.placer, Quota: f.shares, Pool: f.pool, Logger: f.logger, BootClock: boottime.Now,
+		KeyLease: s.Guarantees.KeyRevocation - keyValidityMargin, StateExpected: f.stateExpected, Stopping: f.stopping.Load, Observe: f.recordRequest,
+		Budget: &proxy.Budget{Ratio: s.Guarantees.RetryRatio, Slack: s.Guarantees.RetrySlack, Window: s.Guarantees.RetryWindow},
 	}
 	return f
 }
 
 // kindLabels are the names of the run kinds in metrics.
-var kindLabels = map[gateway.RunKind]string{
-	gateway.RunOnce: "once", gateway.RunIdempotent: "idempotent", gateway.RunStream: "stream",
+var kindLabels = map[gatewayconfig.RunKind]string{
+	gatewayconfig.RunOnce: "once", gatewayconfig.RunIdempotent: "idempotent", gatewayconfig.RunStream: "stream",
 }
 
 // recordRequest counts a completed request and its latency.
-func (f *Front) recordRequest(kind gateway.RunKind, code string, took time.Duration) {
+func (f *Front) recordRequest(kind gatewayconfig.RunKind, code string, took time.Duration) {
 	name := kindLabels[kind]
 	f.counters.Add("requests_"+name+"_"+code, 1)
 	f.counters.Add("request_time_"+name+"_"+latencyBucket(took), 1)
@@ -189,7 +189,7 @@
 	if state.Table == nil {
 		return boottime.Now()-f.startedAt < initialStateTimeout
 	}
-	return boottime.Now()-state.Confirmed < f.handler.KeysValid+coreRecoveryTimeout
+	return boottime.Now()-state.Confirmed < f.handler.KeyLease+coreRecoveryTimeout
 }
 
 // serveReadiness starts the server for the load balancer's readiness checks.
@@ -215,8 +215,8 @@
 	return !f.stopping.Load() && state.Table != nil && boottime.Now()-state.Confirmed < maxReadyStateAge
 }
 
-// serve accepts client connections until ctx is done. It then fails the readiness
-// check and drains the requests in flight.
+// serve accepts caller connections until ctx is done. It then fails the
+// readiness check and drains the requests in flight.
 func (f *Front) serve(ctx context.Context, listener net.Listener) {
 	select {
 	case <-f.synced:
@@ -230,7 +230,7 @@
 	f.stopping.Store(true)
 	f.logger.Info("front stops", zap.String("reason", "signal"))
 	time.Sleep(drainDelay)
-	deadline, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Bounds.Grace-graceMargin))
+	deadline, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Guarantees.GracePeriod-graceMargin))
 	defer cancel()
 	if err := server.Shutdown(deadline); err != nil {
 		f.logger.Warn("grace period ended with requests in flight; closing their connections", zap.Error(err))
@@ -238,8 +238,8 @@
 	}
 }
 
-// newServer returns the HTTP server for clients, with the limits of the document
-// in force at the start.
+// newServer returns the HTTP server for callers, with the limits of the document
+// active at the start.
 func (f *Front) newServer() *http.Server {
 	server := &http.Server{
 		Handler: f.handler, MaxHeaderBytes: defaultMaxHeaderBytes,
@@ -268,7 +268,7 @@
 func (f *Front) probeUnreachableTargets(ctx context.Context) {
 	for pause.For(ctx, targetProbeInterval) {
 		var probes sync.WaitGroup
-		for _, t := range f.placer.Paused() {
+		for _, t := range f.placer.DownTargets() {
 			probes.Go(func() { f.probeTarget(ctx, t) })
 		}
 		probes.Wait()
@@ -277,10 +277,10 @@
 
 // probeTarget connects to a target and returns it to placement if that succeeds.
 func (f *Front) probeTarget(ctx context.Context, t placement.Target) {
-	if err := f.pool.Try(ctx, t.Address); err != nil {
+	if err := f.pool.Probe(ctx, t.Address); err != nil {
 		return
 	}
-	f.placer.Reachable(t.ID)
+	f.placer.RecordReachable(t.ID)
 	f.logger.Info("target regained", zap.String("target", t.ID), zap.String("address", t.Address))
 }
 
@@ -289,7 +289,7 @@
 	for pause.For(ctx, sweepInterval) {
 		live := make(map[string]bool)
 		for _, t := range f.placer.Targets() {
-			live[t.Address] = !t.Closed
+			live[t.Address] = !t.Excluded
 		}
 		f.pool.Sweep(live)
 	}
--- a/internal/edge/frontsync.go
+++ b/internal/edge/frontsync.go
@@ -10,10 +10,10 @@
 	"github.com/cuminwing/cuminwing/internal/adapter/boottime"
 	"github.com/cuminwing/cuminwing/internal/fleet"
 	"github.com/cuminwing/cuminwing/internal/fleetsync"
-	"github.com/cuminwing/cuminwing/internal/forward"
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 	"github.com/cuminwing/cuminwing/internal/pause"
 	"github.com/cuminwing/cuminwing/internal/placement"
+	"github.com/cuminwing/cuminwing/internal/proxy"
 	"github.com/cuminwing/cuminwing/internal/ratelimit"
 )
 
@@ -73,7 +73,7 @@
 	state := f.state.Load()
 	request := fleetsync.Request{
 		VM: f.settings.VM, Incarnation: f.incarnation, Revision: f.registry.Revision,
-		NoWait: state.Table != nil && !f.sharesReceived.Load(), Address: f.settings.selfPeerAddress(), Region: f.settings.Region, FrontsVersion: f.peers.version(), StoresLost: f.unreachableStores,
+		NoWait: state.Table != nil && !f.sharesReceived.Load(), Address: f.settings.selfPeerAddress(), Region: f.settings.Region, FrontsVersion: f.peers.version(), UnreachableStores: f.unreachableStores,
 	}
 	if state.Table != nil {
 		request.DocumentVersion = state.Table.Document.Version
@@ -86,7 +86,7 @@
 }
 
 // rateLimitedWorkspaces returns the names of the workspaces that have a rate.
-func rateLimitedWorkspaces(d *gateway.Document) []string {
+func rateLimitedWorkspaces(d *gatewayconfig.Document) []string {
 	var names []string
 	for i := range d.Workspaces {
 		if d.Workspaces[i].Rate > 0 {
@@ -100,25 +100,25 @@
 // versions and revisions older than those it has.
 func (f *Front) applyResponse(sentAt time.Duration, response fleetsync.Response) {
 	next := *f.state.Load()
-	next.Fronts = response.FrontCount
+	next.FrontCount = response.FrontCount
 	table, err := f.tableFor(next.Table, response)
 	if err != nil {
-		// The document that cannot be decoded is not in force, so the state must
+		// The document that cannot be decoded is not active, so the state must
 		// not count as confirmed.
 		f.logger.Error("decoding the document from the core failed", zap.Uint64("version", response.DocumentVersion), zap.Error(err))
 		return
 	}
 	if table != next.Table {
 		next.Table = table
-		f.updatePlacement(table, next.Fronts)
+		f.updatePlacement(table, next.FrontCount)
 		f.logger.Info("document in force", zap.Uint64("version", table.Document.Version))
 	}
 	// The read barrier at the leader started after the call was sent. Adding the
 	// leader's delay to the send time gives a lower bound of its start.
 	next.Confirmed = max(next.Confirmed, sentAt+time.Duration(response.ConfirmedAfterMS*float64(time.Millisecond)))
 	f.peers.update(response.Fronts, response.FrontsVersion)
-	if !slices.Equal(response.StoresLost, f.unreachableStores) {
-		f.unreachableStores = response.StoresLost
+	if !slices.Equal(response.UnreachableStores, f.unreachableStores) {
+		f.unreachableStores = response.UnreachableStores
 		f.logger.Info("unreachable stores changed", zap.Strings("lost", f.unreachableStores))
 		f.placer.UpdateStores(f.reachableStores(next.Table))
 	}
@@ -127,9 +127,9 @@
 		next.Weights = f.registry.Weights
 		f.logger.Info("targets changed", zap.Uint64("revision", d.Revision), zap.Int("changed", len(d.Targets)),
 			zap.Strings("gone", d.Removed), zap.Int("targets", len(f.registry.Targets)))
-		f.updatePlacement(next.Table, next.Fronts)
+		f.updatePlacement(next.Table, next.FrontCount)
 	} else if f.weightsPending {
-		f.updatePlacement(next.Table, next.Fronts)
+		f.updatePlacement(next.Table, next.FrontCount)
 	}
 	f.state.Store(&next)
 	if next.Table == nil {
@@ -145,7 +145,7 @@
 
 // tableFor compiles the routing table of a response's document if that is newer
 // than the current one, and returns the current table otherwise.
-func (f *Front) tableFor(current *gateway.Table, response fleetsync.Response) (*gateway.Table, error) {
+func (f *Front) tableFor(current *gatewayconfig.Table, response fleetsync.Response) (*gatewayconfig.Table, error) {
 	if len(response.RawDocument) == 0 || current != nil && response.DocumentVersion <= current.Document.Version {
 		return current, nil
 	}
@@ -153,13 +153,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return gateway.Compile(document), nil
+	return gatewayconfig.Compile(document), nil
 }
 
 // servingState returns the state for requests. It has no table before the front
 // has received its shares of the rates, because until then the front would reject
 // requests that are within the rates.
-func (f *Front) servingState() forward.State {
+func (f *Front) servingState() proxy.State {
 	state := *f.state.Load()
 	if !f.sharesReceived.Load() {
 		state.Table = nil
@@ -168,8 +168,8 @@
 }
 
 // applyShares passes the granted shares to the rate limiter.
-func (f *Front) applyShares(state forward.State, sentAt time.Duration, grants map[string]ratelimit.ShareGrant) {
-	f.shares.Grant(boottime.Now(), sentAt, state.Fronts, grants, func(name string) (rate, burst float64) {
+func (f *Front) applyShares(state proxy.State, sentAt time.Duration, grants map[string]ratelimit.ShareGrant) {
+	f.shares.ApplyGrants(boottime.Now(), sentAt, state.FrontCount, grants, func(name string) (rate, burst float64) {
 		if w := state.Table.Workspace(name); w != nil {
 			return w.Rate, w.Burst
 		}
@@ -179,7 +179,7 @@
 
 // updatePlacement passes the targets, stores and connection limits to placement
 // and to the connection pool.
-func (f *Front) updatePlacement(table *gateway.Table, fronts int) {
+func (f *Front) updatePlacement(table *gatewayconfig.Table, fronts int) {
 	now := boottime.Now()
 	f.staleWeights.update(now, f.leader, f.registry)
 	f.weightsPending = false
@@ -187,7 +187,7 @@
 	limits := make(map[string]int)
 	for _, t := range f.registry.Targets {
 		p := f.placementTarget(t)
-		p.Closed = p.Closed || f.staleWeights.excludes(now, &t)
+		p.Excluded = p.Excluded || f.staleWeights.excludes(now, &t)
 		f.weightsPending = f.weightsPending || t.Updating || t.Weights < f.registry.Weights[t.Model]
 		if table != nil {
 			p.CacheTokens = table.CacheTokens(t.Service)
@@ -199,11 +199,11 @@
 	}
 	f.placer.Update(targets)
 	f.placer.UpdateStores(f.reachableStores(table))
-	f.pool.SetLimits(limits)
+	f.pool.SetIdleLimits(limits)
 }
 
 // reachableStores returns the stores of the document except the unreachable ones.
-func (f *Front) reachableStores(table *gateway.Table) []placement.Store {
+func (f *Front) reachableStores(table *gatewayconfig.Table) []placement.Store {
 	if table == nil {
 		return nil
 	}
@@ -214,8 +214,8 @@
 			continue
 		}
 		list = append(list, placement.Store{
-			Address: s.Address, Zone: s.Zone, Region: f.settings.Regions[s.Zone], Tokens: s.Tokens,
-			TokenMS: table.TokenBytes() / s.Rate * msPerSecond,
+			Address: s.Address, Zone: s.Zone, Region: f.settings.Regions[s.Zone], CapacityTokens: s.Tokens,
+			TransferMSPerToken: table.TokenBytes() / s.Rate * msPerSecond,
 		})
 	}
 	return list
@@ -224,7 +224,7 @@
 func (f *Front) placementTarget(t fleet.Target) placement.Target {
 	return placement.Target{
 		ID: t.ID, Address: t.Address, Zone: t.Zone, Region: f.settings.Regions[t.Zone],
-		Closed: t.Draining, Gone: t.Draining, Weights: t.Weights, Started: t.Started,
+		Excluded: t.Draining, Terminating: t.Draining, Weights: t.Weights, Started: t.Started,
 	}
 }
 
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -1,7 +1,7 @@
 // Package edge assembles the two kinds of process of a deployment. Fronts forward
 // requests byte for byte. The core is a Raft group that holds the state of the
 // fronts. A front stores nothing on disk; it follows the leader of the core. The
-// protocols with clients, targets and operators are supplied by the importer, in
+// protocols with callers, targets and operators are supplied by the importer, in
 // CoreOptions and FrontOptions.
 package edge
 
@@ -24,7 +24,7 @@
 	Regions map[string]string
 	// IP is the address of the VM.
 	IP string
-	// FrontAddress is the listen address for clients, ReadyAddress that for the
+	// FrontAddress is the listen address for callers, ReadyAddress that for the
 	// load balancer's readiness checks.
 	FrontAddress string
 	ReadyAddress string
@@ -45,16 +45,16 @@
 	DataFolder string
 	// MemoryBytes is the memory that the process may use.
 	MemoryBytes int64
-	Bounds      Bounds
+	Guarantees  Guarantees
 }
 
-// Bounds are the time and rate limits that a deployment guarantees.
-type Bounds struct {
-	// Grace is the grace period: the time from SIGTERM to SIGKILL.
-	Grace time.Duration
-	// Revoke is the time after which a withdrawn key must be rejected, also on
-	// VMs that are partitioned from the core.
-	Revoke time.Duration
+// Guarantees are the time and rate limits that a deployment guarantees.
+type Guarantees struct {
+	// GracePeriod is the grace period: the time from SIGTERM to SIGKILL.
+	GracePeriod time.Duration
+	// KeyRevocation is the time after which a withdrawn key must be rejected,
+	// also on VMs that are partitioned from the core.
+	KeyRevocation time.Duration
 	// RetryRatio and RetrySlack limit the extra attempts sent to a service
 	// within RetryWindow by all VMs together.
 	RetryRatio  float64
@@ -65,9 +65,9 @@
 	// HolderLease is the minimum time between the last order of one holder and
 	// the first order of the next.
 	HolderLease time.Duration
-	// Weights is the time after the replacement of weights from which no
+	// StaleWeights is the time after the replacement of weights from which no
 	// request may start on the old ones.
-	Weights time.Duration
+	StaleWeights time.Duration
 }
 
 // PeerAddress returns the peer address of the VM with the given control address.
--- a/internal/gateway/document.go
+++ b/internal/gatewayconfig/document.go
@@ -1,7 +1,7 @@
-// Package gateway holds the configuration document of routes, services and
+// Package gatewayconfig holds the configuration document of routes, services and
 // workspaces that front VMs apply, and the lookup table compiled from it. The
 // package does no I/O.
-package gateway
+package gatewayconfig
 
 import (
 	"crypto/sha256"
@@ -25,8 +25,8 @@
 	RunStream
 )
 
-// Share is the weight of one service in the traffic split of a route.
-type Share struct {
+// WeightedService is the weight of one service in the traffic split of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -47,7 +47,7 @@
 	MaxPause time.Duration
 	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	Split    []Share
+	Split    []WeightedService
 	// MaxAttempts limits the number of targets that may run one request.
 	MaxAttempts int
 	// Open routes require no key.
@@ -64,8 +64,8 @@
 	return r.Kind == RunIdempotent || r.Kind == RunStream && r.Resumable
 }
 
-// EngineLimits describes the engines of a service.
-type EngineLimits struct {
+// Engine describes the engines of a service.
+type Engine struct {
 	// CacheTokens is the memory for running requests and cached parts, in
 	// tokens.
 	CacheTokens int
@@ -92,7 +92,7 @@
 	// together.
 	MaxConnections int
 	// Engine is nil for a plain service.
-	Engine *EngineLimits
+	Engine *Engine
 	// Store is set if the service is a store for KV cache.
 	Store *Store
 }
@@ -155,7 +155,7 @@
 		}
 		match := r.Host + "\x00" + r.PathPrefix
 		if other, ok := routeByMatch[match]; ok {
-			return invalid("routes %q and %q have the same host and path prefix", other, r.Name)
+			return invalid("routes %q and %q share host and prefix", other, r.Name)
 		}
 		routeByMatch[match] = r.Name
 	}
@@ -167,12 +167,12 @@
 		return invalid("route %q has no timeout", r.Name)
 	}
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-		return invalid("route %q has path prefix %q, which must start and end with /", r.Name, r.PathPrefix)
+		return invalid("route %q has prefix %q", r.Name, r.PathPrefix)
 	}
 	total := 0.0
 	for _, share := range r.Split {
 		if !services[share.Service] {
-			return invalid("route %q refers to unknown service %q", r.Name, share.Service)
+			return invalid("route %q names the unknown service %q", r.Name, share.Service)
 		}
 		if share.Weight < 0 {
 			return invalid("route %q has a negative weight", r.Name)
--- a/internal/idempotency/schedule_test.go
+++ b/internal/idempotency/schedule_test.go
@@ -27,7 +27,7 @@
 // and requests with the same key that fail, crash and are resent at any point.
 type simulation struct {
 	t          *rapid.T
-	machine    *control.Machine
+	machine    *control.CompositeStateMachine
 	index      uint64
 	now        time.Time
 	delayed    [][]byte
@@ -73,18 +73,18 @@
 	}
 }
 
-func newMachine() *control.Machine {
-	return control.NewMachine(map[control.Kind]control.Part{control.KindClaims: NewPart()})
+func newMachine() *control.CompositeStateMachine {
+	return control.NewCompositeStateMachine(map[control.Kind]control.StateMachine{control.KindClaims: NewStateMachine()})
 }
 
 func (s *simulation) apply(body []byte) []byte {
 	s.index++
 	s.now = s.now.Add(time.Millisecond)
-	answer, err := s.machine.Apply(s.index, control.EncodeCommand(control.KindClaims, s.now, body))
+	response, err := s.machine.Apply(s.index, control.EncodeCommand(control.KindClaims, s.now, body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return answer
+	return response
 }
 
 // recoverCrash runs f and recovers from a simulated crash.
@@ -113,7 +113,7 @@
 		s.delayed = append(s.delayed, bytes.Clone(body))
 		return nil, control.ErrUncertain
 	}
-	answer := s.apply(body)
+	response := s.apply(body)
 	if s.chance("answer lost", 15) {
 		return nil, control.ErrUncertain
 	}
@@ -121,11 +121,11 @@
 	if s.chance("crash after commit", 10) {
 		panic(errCrash)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// Do implements serving.Services.
-func (s *simulation) Do(_ context.Context, _ *target.Target, call *serving.Call, _ serving.ServiceRequest) (*serving.ServiceAnswer, error) {
+// Do implements serving.ServiceClient.
+func (s *simulation) Do(_ context.Context, _ *target.Target, call *serving.Call, _ serving.ServiceRequest) (*serving.ServiceResponse, error) {
 	s.interleave()
 	if s.chance("dial refused", 20) {
 		return nil, &serving.DialError{Err: errors.New("refused")}
@@ -138,7 +138,7 @@
 	if s.chance("connection lost", 15) {
 		return nil, io.ErrUnexpectedEOF
 	}
-	return &serving.ServiceAnswer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done by " + call.ID))}, nil
+	return &serving.ServiceResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done by " + call.ID))}, nil
 }
 
 // Pick implements serving.Picker.
@@ -156,7 +156,7 @@
 	return freeSlot{}, nil
 }
 func (s *simulation) Allow(string, string) bool    { return true }
-func (s *simulation) Finished(string, string)      {}
+func (s *simulation) RecordSuccess(string, string) {}
 func (s *simulation) Observe(serving.Sample)       {}
 func (s *simulation) Record(_ serving.UsageRecord) {}
 
@@ -166,7 +166,7 @@
 		Pause:      func(context.Context, time.Duration) bool { return s.chance("retry", 70) },
 		Background: func(f func(context.Context)) { s.background = append(s.background, f) },
 	}
-	return &serving.Service{Clock: time.Now, Limiter: s, Queue: s, Claims: client, Picker: s, Retries: s, Services: s, Ledger: s, Observer: s}
+	return &serving.Service{Clock: time.Now, Limiter: s, Queue: s, Claims: client, Picker: s, Retries: s, Services: s, UsageRecorder: s, Observer: s}
 }
 
 // responseSink is a serving.ServiceSink that records the response.
@@ -196,11 +196,11 @@
 	s.recoverCrash(func() {
 		sink := &responseSink{}
 		outcome := vm.Forward(context.Background(), call, serving.ServiceRequest{Buffered: true}, sink)
-		s.checkAnswer(call, sink, outcome.Refusal)
+		s.checkResponse(call, sink, outcome.Refusal)
 	})
 }
 
-func (s *simulation) checkAnswer(call *serving.Call, sink *responseSink, refusal *serving.Refusal) {
+func (s *simulation) checkResponse(call *serving.Call, sink *responseSink, refusal *serving.Refusal) {
 	if refusal != nil && refusal.Run == serving.NotRun && s.executions[call.ID] != 0 {
 		s.t.Fatalf("request %s was refused with %q as not-run but ran", call.ID, refusal.Code)
 	}
@@ -223,7 +223,7 @@
 }
 
 // Guards against a request that runs twice, and against a resend that is answered
-// with not-run or with another answer although the request has run.
+// with not-run or with another response although the request has run.
 func TestExecutionsPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{t: t, machine: newMachine(), now: time.UnixMilli(1), executions: make(map[string]int)}
--- a/internal/loadgen/profile.go
+++ b/internal/loadgen/profile.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"github.com/cuminwing/cuminwing/internal/apikeys"
 	"github.com/cuminwing/cuminwing/internal/config"
-	"github.com/cuminwing/cuminwing/internal/keys"
 )
 
 // Prompt lengths, block sizes and prefill speeds are a tenth of the real ones,
@@ -53,7 +53,7 @@
 	RequestShare float64
 	// PromptBlocks is the length of a prompt in blocks.
 	PromptBlocks int
-	// AnswerTokens is the length of an answer in tokens.
+	// AnswerTokens is the length of a response in tokens.
 	AnswerTokens int
 	// Documents is the number of long documents of which each prompt contains
 	// one.
@@ -131,7 +131,7 @@
 // MakeKeys generates a caller key for every workspace.
 func (p *Profile) MakeKeys() error {
 	for i := range p.Workspaces {
-		key, err := keys.New()
+		key, err := apikeys.New()
 		if err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// meanRequestTokens returns the mean number of prompt and answer tokens of a
+// meanRequestTokens returns the mean number of prompt and response tokens of a
 // request.
 func (p *Profile) meanRequestTokens() float64 {
 	sum := 0.0
@@ -175,7 +175,7 @@
 		Run: config.RunAtMostOnce, Class: config.ClassInteractive, CostTokens: 1,
 	}
 	for _, w := range p.Workspaces {
-		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: keys.Sum(w.Key).String()}}}
+		d.Workspaces[w.Name] = config.Workspace{Keys: []config.Key{{ID: "load", SHA256: apikeys.HashKey(w.Key).String()}}}
 		rate := p.RequestsPerSecond * w.RequestShare * p.meanRequestTokens() * w.RateFactor
 		d.Rates[w.Name] = config.Rate{RateTokensPerSecond: rate, BurstTokens: max(burstSeconds*rate, 4*p.meanRequestTokens()), MaxWaitMS: 500}
 	}
--- a/internal/forward/log.go
+++ b/internal/proxy/log.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"net/http"
@@ -6,14 +6,14 @@
 
 	"go.uber.org/zap"
 
-	"github.com/cuminwing/cuminwing/internal/gateway"
+	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 )
 
 // finish writes the log entry of the request, and aborts the connection to the
 // caller if the response is incomplete.
 func (c *call) finish(code string) {
 	took := time.Since(c.started)
-	kind := gateway.RunOnce
+	kind := gatewayconfig.RunOnce
 	if c.route != nil {
 		kind = c.route.Kind
 	}
@@ -44,7 +44,7 @@
 	var fields []zap.Field
 	if c.state.Table != nil {
 		fields = append(fields, zap.Uint64("document", c.state.Table.Document.Version),
-			zap.Duration("confirmed_age", c.Boot()-c.state.Confirmed))
+			zap.Duration("confirmed_age", c.BootClock()-c.state.Confirmed))
 	}
 	if c.route != nil {
 		fields = append(fields, zap.String("route", c.route.Name))
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -50,7 +50,7 @@
 	}
 	snap := q.req.Call.Snapshot
 	rate := float64(snap.Document.Limits.RegionLinkBytesPerSecond)
-	if !p.regionLink.available(q.now, rate/float64(max(1, snap.Slots()))) {
+	if !p.regionLink.available(q.now, rate/float64(max(1, snap.VMSlots()))) {
 		return best, ok
 	}
 	transfer := time.Duration(float64(len(q.req.Call.Body)) / rate * float64(time.Second))
@@ -121,7 +121,7 @@
 // heldBlocks returns how many leading blocks of the chain candidate i is
 // expected to hold.
 func (p *Picker) heldBlocks(q *query, c *candidate, i int, crossRegion bool) int {
-	if q.ownerAnswered && !crossRegion {
+	if q.ownerResponded && !crossRegion {
 		return p.ownerBlocks[i]
 	}
 	return matchedBlocks(&p.match, c)
@@ -148,7 +148,7 @@
 
 const (
 	// recentChoiceTTL is how long this VM adds its own choices to the owner's
-	// answers. After that time the owner has received them.
+	// responses. After that time the owner has received them.
 	recentChoiceTTL  = 100 * time.Millisecond
 	maxRecentChoices = 64
 )
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -23,9 +23,9 @@
 	Penalty(ref target.Ref) time.Duration
 }
 
-// Lookup asks the VM that owns a chain which targets hold it. It reports false
-// if this VM is the owner or if the owner did not answer in time.
-type Lookup interface {
+// OwnerLookup asks the VM that owns a chain which targets hold it. It reports
+// false if this VM is the owner or if the owner did not respond in time.
+type OwnerLookup interface {
 	Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool)
 }
 
@@ -40,16 +40,16 @@
 	// Index holds the chains that this VM owns and the predictions from its own
 	// dispatches.
 	Index *prefix.Index
-	// Remote asks the owner of a chain; nil if this VM owns all chains.
-	Remote Lookup
+	// OwnerLookup asks the owner of a chain; nil if this VM owns all chains.
+	OwnerLookup OwnerLookup
 	// Health is optional.
 	Health Health
-	// Dispatched reports each dispatch, and each failed attempt, to the other
+	// OnDispatch reports each dispatch, and each failed attempt, to the other
 	// VMs. It is optional and must not block.
-	Dispatched func(d Dispatch)
-	// Export requests a copy of blocks to a KV store. It is optional and must
+	OnDispatch func(d Dispatch)
+	// OnExport requests a copy of blocks to a KV store. It is optional and must
 	// not block.
-	Export func(e Export)
+	OnExport func(e Export)
 	// Zone and Region are where this VM runs.
 	Zone, Region string
 
@@ -71,18 +71,19 @@
 	// Ref is the chosen target.
 	Ref target.Ref
 	// Chain lists the block hashes of the prompt. The target is expected to hold
-	// the first Held blocks.
-	Chain []prefix.Hash
-	Held  int
-	// Work is the expected prefill time.
-	Work time.Duration
+	// the first HeldBlocks blocks.
+	Chain      []prefix.Hash
+	HeldBlocks int
+	// PrefillTime is the expected prefill time.
+	PrefillTime time.Duration
 	// Failed is true if the attempt failed; it retracts the earlier dispatch.
 	Failed bool
 }
 
-// Elsewhere adds a request dispatched by another VM to the load estimate of the
-// target. The index records separately which blocks the target will hold.
-func (p *Picker) Elsewhere(ref target.Ref, work time.Duration) {
+// AddPeerDispatch adds a request dispatched by another VM to the load estimate
+// of the target. The index records separately which blocks the target will
+// hold.
+func (p *Picker) AddPeerDispatch(ref target.Ref, work time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.loads[ref.ID]; ok && l.ref == ref {
@@ -90,9 +91,9 @@
 	}
 }
 
-// Report applies the load report of a target that sends no heartbeats to this
-// VM.
-func (p *Picker) Report(ref target.Ref, reported target.Load, snap *config.Snapshot) {
+// ApplyLoadReport applies the load report of a target that sends no heartbeats
+// to this VM.
+func (p *Picker) ApplyLoadReport(ref target.Ref, reported target.Load, snap *config.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, known := p.Registry.Get(ref.ID)
@@ -123,15 +124,15 @@
 // PickChain chooses a target for a prompt whose block hashes are known.
 func (p *Picker) PickChain(ctx context.Context, req serving.PickRequest, hint serving.PrefixHint) (*serving.Pick, *serving.Refusal) {
 	var holdings []prefix.Holding
-	ownerAnswered := false
-	if p.Remote != nil && len(hint.Blocks) > 0 {
-		holdings, ownerAnswered = p.Remote.Lookup(ctx, hint.Blocks)
+	ownerResponded := false
+	if p.OwnerLookup != nil && len(hint.Blocks) > 0 {
+		holdings, ownerResponded = p.OwnerLookup.Lookup(ctx, hint.Blocks)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	mayBeStale := p.view != nil
 	for range maxPickAttempts {
-		q := p.newQuery(req, hint.Blocks, holdings, ownerAnswered)
+		q := p.newQuery(req, hint.Blocks, holdings, ownerResponded)
 		best, ok := p.choose(q)
 		if !ok && mayBeStale {
 			// A target may have joined since the view was built.
@@ -172,16 +173,16 @@
 	storeBlocks int
 	store       *candidate
 	holdTime    time.Duration
-	// ownerAnswered is true if another VM owns the chain and answered the
-	// lookup.
-	ownerAnswered bool
+	// ownerResponded is true if another VM owns the chain and responded to
+	// the lookup.
+	ownerResponded bool
 }
 
-func (p *Picker) newQuery(req serving.PickRequest, chain []prefix.Hash, holdings []prefix.Holding, ownerAnswered bool) *query {
+func (p *Picker) newQuery(req serving.PickRequest, chain []prefix.Hash, holdings []prefix.Holding, ownerResponded bool) *query {
 	call := req.Call
 	model := call.Snapshot.Document.Models[call.Model]
 	perToken := float64(time.Second) / model.PrefillTokensPerSecond
-	q := &query{req: req, now: p.Clock(), chain: chain, ownerAnswered: ownerAnswered}
+	q := &query{req: req, now: p.Clock(), chain: chain, ownerResponded: ownerResponded}
 	q.blockPrefill = time.Duration(perToken * float64(model.BlockTokens))
 	q.tailPrefill = time.Duration(perToken * float64(max(1, call.PromptTokens-len(chain)*model.BlockTokens)))
 	q.blockImport = time.Duration(float64(model.BlockTokens*model.KVBytesPerToken) / kvBytesPerSecond * float64(time.Second))
@@ -195,17 +196,17 @@
 	p.refresh(q.now, call.Snapshot)
 	q.group = p.groupFor(groupKey{call.Model, call.Version, call.Adapter}, q.now)
 	p.Index.Match(&p.match, chain)
-	if ownerAnswered {
-		p.applyOwnerAnswer(q, holdings)
+	if ownerResponded {
+		p.applyOwnerResponse(q, holdings)
 	}
 	p.findStore(q, holdings)
 	return q
 }
 
-// applyOwnerAnswer assigns the owner's answer to the candidates in the home
+// applyOwnerResponse assigns the owner's response to the candidates in the home
 // region. It adds the recent choices of this VM, which the owner may not have
 // received yet.
-func (p *Picker) applyOwnerAnswer(q *query, holdings []prefix.Holding) {
+func (p *Picker) applyOwnerResponse(q *query, holdings []prefix.Holding) {
 	p.ownerBlocks = resize(p.ownerBlocks, len(q.group.home))
 	clear(p.ownerBlocks)
 	for _, h := range holdings {
@@ -233,8 +234,8 @@
 		p.Index.Predict(ref, q.chain, c.heldBlocks)
 		p.recentChoices.add(q.now, ref, q.chain)
 	}
-	if p.Dispatched != nil {
-		p.Dispatched(Dispatch{Ref: ref, Chain: q.chain, Held: c.heldBlocks, Work: c.prefill})
+	if p.OnDispatch != nil {
+		p.OnDispatch(Dispatch{Ref: ref, Chain: q.chain, HeldBlocks: c.heldBlocks, PrefillTime: c.prefill})
 	}
 	if c.importsKV {
 		hint.KVSource = q.store.target.URL
@@ -258,8 +259,8 @@
 	c.load.finishOwn()
 	if result.Err != nil {
 		p.Index.RetractPredicted(c.target.Ref(), q.chain)
-		if p.Dispatched != nil && len(q.chain) > 0 {
-			p.Dispatched(Dispatch{Ref: c.target.Ref(), Chain: q.chain, Failed: true})
+		if p.OnDispatch != nil && len(q.chain) > 0 {
+			p.OnDispatch(Dispatch{Ref: c.target.Ref(), Chain: q.chain, Failed: true})
 		}
 		return
 	}
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -49,8 +49,8 @@
 	s.wasted += o.wasted
 }
 
-// Ledger counts the usage on one VM. It implements serving.Ledger and is safe
-// for concurrent use.
+// Ledger counts the usage on one VM. It implements serving.UsageRecorder and is
+// safe for concurrent use.
 type Ledger struct {
 	vm          string
 	incarnation uint64
@@ -80,7 +80,7 @@
 	}
 }
 
-// Record implements serving.Ledger.
+// Record implements serving.UsageRecorder.
 func (l *Ledger) Record(u serving.UsageRecord) {
 	s := counts{1, nonNegative(u.PromptTokens), nonNegative(u.CompletionTokens), nonNegative(u.WastedTokens)}
 	if s.prompt+s.completion+s.wasted == 0 {
@@ -123,12 +123,12 @@
 		if l.unacknowledgedBatch == nil && !l.sealBatch() {
 			return nil
 		}
-		answer, err := log.Propose(ctx, control.KindUsage, l.unacknowledgedBatch)
+		response, err := log.Propose(ctx, control.KindUsage, l.unacknowledgedBatch)
 		if err != nil {
 			return fmt.Errorf("send usage batch %d: %w", l.sequence, err)
 		}
-		if string(answer) != answerCounted {
-			return fmt.Errorf("send usage batch %d: unexpected answer %q from the control log", l.sequence, answer)
+		if string(response) != answerCounted {
+			return fmt.Errorf("send usage batch %d: unexpected answer %q from the control log", l.sequence, response)
 		}
 		l.unacknowledgedBatch = nil
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -14,13 +14,13 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// stubLog applies commands to one part. fault decides whether the next command
-// or its answer is lost.
+// stubLog applies commands to one state machine. fault decides whether the next
+// command or its response is lost.
 type stubLog struct {
 	control.Log
-	part  *Part
-	now   time.Time
-	fault func() (lost, unanswered bool)
+	stateMachine *StateMachine
+	now          time.Time
+	fault        func() (lost, unanswered bool)
 	// committed holds the bodies of committed commands, some of which are
 	// applied once more, as after a resend that overtook its predecessor.
 	committed [][]byte
@@ -32,27 +32,27 @@
 		return nil, control.ErrNotCommitted
 	}
 	l.committed = append(l.committed, body)
-	answer := l.part.Apply(1, l.now, body)
+	response := l.stateMachine.Apply(1, l.now, body)
 	if unanswered {
 		return nil, control.ErrUncertain
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (l *stubLog) total() counts {
 	var all counts
-	for _, s := range l.part.totals {
+	for _, s := range l.stateMachine.totals {
 		all.add(*s)
 	}
 	return all
 }
 
-// Guards against usage that is counted twice or lost when batches or answers
+// Guards against usage that is counted twice or lost when batches or responses
 // are lost, resent or repeated late, or when the state is restored from a
 // snapshot.
 func TestUsageCountsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		log := &stubLog{part: NewPart(), now: time.Unix(1_700_000_000, 0)}
+		log := &stubLog{stateMachine: NewStateMachine(), now: time.Unix(1_700_000_000, 0)}
 		clock := func() time.Time { return log.now }
 		ledgers := []*Ledger{NewLedger("vm-1", 1, clock), NewLedger("vm-2", 1, clock)}
 		log.fault = func() (bool, bool) {
@@ -70,7 +70,7 @@
 				_ = l.Flush(context.Background(), log)
 			case 3:
 				if n := len(log.committed); n > 0 {
-					log.part.Apply(1, log.now, log.committed[rapid.IntRange(0, n-1).Draw(rt, "repeat")])
+					log.stateMachine.Apply(1, log.now, log.committed[rapid.IntRange(0, n-1).Draw(rt, "repeat")])
 				}
 			case 4:
 				restoreFromSnapshot(rt, log)
@@ -90,12 +90,12 @@
 }
 
 func restoreFromSnapshot(rt *rapid.T, log *stubLog) {
-	data, err := log.part.Snapshot()
+	data, err := log.stateMachine.Snapshot()
 	if err != nil {
 		rt.Fatal(err)
 	}
-	log.part = NewPart()
-	if err := log.part.Restore(data); err != nil {
+	log.stateMachine = NewStateMachine()
+	if err := log.stateMachine.Restore(data); err != nil {
 		rt.Fatal(err)
 	}
 }
@@ -103,7 +103,7 @@
 // Guards against unlimited memory use, and against lost usage, while the
 // control log is unreachable for many hours.
 func TestPendingUsageIsBoundedWithoutLog(t *testing.T) {
-	log := &stubLog{part: NewPart(), now: time.Unix(1_700_000_000, 0)}
+	log := &stubLog{stateMachine: NewStateMachine(), now: time.Unix(1_700_000_000, 0)}
 	l := NewLedger("vm-1", 1, func() time.Time { return log.now })
 	var want counts
 	for hour := range 100 {
@@ -128,16 +128,16 @@
 // Guards against totals that change when old hours are merged into days, and
 // against a state that grows without limit.
 func TestOldHoursBecomeDays(t *testing.T) {
-	p := NewPart()
+	m := NewStateMachine()
 	start := time.Unix(1_700_000_000, 0)
 	for hour := range 200 {
 		now := start.Add(time.Duration(hour) * time.Hour)
 		total := toTotal(totalKey{"w", "m", now.Unix() / secondsPerHour, 1}, counts{1, 1, 1, 1})
-		p.applyBatch(now, &usagev1.Batch{Vm: "vm-1", Incarnation: 1, Sequence: uint64(hour + 1), Totals: []*usagev1.Total{total}})
-		p.compact(now)
+		m.applyBatch(now, &usagev1.Batch{Vm: "vm-1", Incarnation: 1, Sequence: uint64(hour + 1), Totals: []*usagev1.Total{total}})
+		m.compact(now)
 	}
 	var got usagev1.Totals
-	if err := proto.Unmarshal(p.query(&usagev1.Query{Workspace: "w"}), &got); err != nil {
+	if err := proto.Unmarshal(m.query(&usagev1.Query{Workspace: "w"}), &got); err != nil {
 		t.Fatal(err)
 	}
 	var requests uint64
@@ -147,15 +147,15 @@
 	if requests != 200 || len(got.GetTotals()) > hourlyRetentionHours+10 {
 		t.Fatalf("%d requests in %d totals, want 200 requests", requests, len(got.GetTotals()))
 	}
-	p.compact(start.Add(100 * 24 * time.Hour))
-	if len(p.totals) != 0 || len(p.senders) != 0 {
-		t.Fatalf("%d totals and %d senders are left after 100 days", len(p.totals), len(p.senders))
+	m.compact(start.Add(100 * 24 * time.Hour))
+	if len(m.totals) != 0 || len(m.senders) != 0 {
+		t.Fatalf("%d totals and %d senders are left after 100 days", len(m.totals), len(m.senders))
 	}
 }
 
 // BenchmarkApplyBatch measures one batch of 1,000 totals.
 func BenchmarkApplyBatch(b *testing.B) {
-	p := NewPart()
+	m := NewStateMachine()
 	batch := &usagev1.Batch{Vm: "vm-1", Incarnation: 1}
 	for w := range maxBatchTotals {
 		batch.Totals = append(batch.Totals, toTotal(totalKey{fmt.Sprint("workspace-", w), "gutachter", 472222, 1}, counts{5, 20000, 900, 3}))
@@ -167,7 +167,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		p.Apply(1, now, body)
+		m.Apply(1, now, body)
 		b.ReportMetric(float64(len(body)), "B/batch")
 	}
 }
