--- a/internal/gatewayconfig/document.go
+++ b/internal/gatewayconfig/document.go
@@ -93,7 +93,8 @@
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// Store is set if the service is a store for KV cache.
+	// Store is set if the targets of the service are stores of cached parts
+	// (KV cache) rather than targets for requests.
 	Store *Store
 }
 
@@ -245,7 +246,8 @@
 	t.hosts[host] = routes
 }
 
-// Route returns the most specific route for a host and path, or nil.
+// Route returns the route with the longest matching prefix for a host and path,
+// or nil. The host may include a port.
 func (t *Table) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes := t.hosts[host]
@@ -302,7 +304,8 @@
 // Workspace returns a workspace by name, or nil.
 func (t *Table) Workspace(name string) *Workspace { return t.workspaces[name] }
 
-// Pick selects a service by weight, given a random number x in [0, 1).
+// Pick selects a service of the split by weight, given a random number x in
+// [0, 1).
 func (r *Route) Pick(x float64) string {
 	total := 0.0
 	for _, s := range r.Split {
--- a/internal/gatewayconfig/document_test.go
+++ b/internal/gatewayconfig/document_test.go
@@ -83,19 +83,19 @@
 // Guards against applying a lower version, or different content under the
 // current version.
 func TestTheHighestVersionWins(t *testing.T) {
-	var p StateMachine
+	var m StateMachine
 	changes := 0
-	p.OnChange = func() { changes++ }
-	for _, put := range []struct {
+	m.OnChange = func() { changes++ }
+	for _, proposal := range []struct {
 		version uint64
 		raw     string
 	}{{5, "five"}, {4, "four"}, {5, "other"}, {9, "nine"}, {7, "seven"}} {
-		p.Apply(1, time.Time{}, EncodeProposal(put.version, []byte(put.raw)))
+		m.Apply(1, time.Time{}, EncodeProposal(proposal.version, []byte(proposal.raw)))
 	}
-	if got := p.Current(); got.Version != 9 || string(got.Raw) != "nine" || changes != 2 {
+	if got := m.Current(); got.Version != 9 || string(got.Raw) != "nine" || changes != 2 {
 		t.Errorf("got version %d with content %q after %d changes, want 9 with \"nine\" after 2", got.Version, got.Raw, changes)
 	}
-	data, err := p.Snapshot()
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/placement/member.go
+++ b/internal/placement/member.go
@@ -10,8 +10,8 @@
 func (m *member) cachedTokens(req *Request) int {
 	sum := 0
 	for _, part := range req.Parts {
-		used, ok := m.parts[uint32(part.ID)]
-		if !ok || m.insertedTokens-used > m.cacheBudget() {
+		lastUse, ok := m.parts[uint32(part.ID)]
+		if !ok || m.insertedTokens-lastUse > m.cacheBudget() {
 			break
 		}
 		sum += part.Tokens
@@ -68,8 +68,8 @@
 // evictParts removes the parts that the engine has evicted, or all of them if
 // too many are left.
 func (m *member) evictParts() {
-	for id, used := range m.parts {
-		if m.insertedTokens-used > m.cacheBudget() {
+	for id, lastUse := range m.parts {
+		if m.insertedTokens-lastUse > m.cacheBudget() {
 			delete(m.parts, id)
 		}
 	}
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// DownTargets returns the open targets that are marked as down.
+// DownTargets returns the targets that are down and not excluded.
 func (p *Placer) DownTargets() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -60,14 +60,14 @@
 	failurePenaltyMS = 4000.0
 )
 
-// Target is one incarnation of a target, as far as placement needs to know it.
+// Target is what placement needs to know about one incarnation of a target.
 type Target struct {
 	ID      string
 	Address string
 	Zone    string
 	Region  string
-	// Excluded targets get no new requests. Terminating ones are about to
-	// terminate.
+	// Excluded targets get no new requests. Terminating targets are about to
+	// stop, so nothing is fetched from them.
 	Excluded    bool
 	Terminating bool
 	// Started is the start time of the incarnation: an engine may restart under
@@ -116,8 +116,8 @@
 	// that it does not have; nil if there is none.
 	FetchFrom *Target
 	// SaveTo is the address of the store to which the engine saves what it
-	// prefills; empty if the store holds the shared parts already, or if there
-	// is none.
+	// prefills; empty if the store holds the shared parts already, or if no
+	// store is used.
 	SaveTo string
 	// Expected is the expected time to the first byte of the response.
 	Expected time.Duration
@@ -251,8 +251,8 @@
 	return best, len(s.members)
 }
 
-// cheapest returns the member with the lowest cost. Members that are down are
-// considered only if includeDown is set.
+// cheapest returns a Choice of the member with the lowest cost. Members that are
+// down are considered only if includeDown is set.
 func (p *Placer) cheapest(s *service, req *Request, now time.Time, includeDown bool) *Choice {
 	home := homeFor(s, req)
 	var best *Choice
@@ -282,10 +282,10 @@
 func (p *Placer) evaluate(s *service, m, home *member, req *Request, now time.Time) *Choice {
 	cached := m.cachedTokens(req)
 	c := &Choice{Target: m.Target, CachedTokens: cached, Home: m == home, member: m}
-	fetched, fetch := p.planTransfers(c, s, req, now)
+	fetchedTokens, fetchMS := p.planTransfers(c, s, req, now)
 	all := totalTokens(req.Parts)
 	c.insertedTokens = float64(all - cached)
-	c.workMS = prefillMS(all-cached-fetched, cached+fetched) + fetch
+	c.workMS = prefillMS(all-cached-fetchedTokens, cached+fetchedTokens) + fetchMS
 	return c
 }
 
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -138,7 +138,7 @@
 
 // Scenario with short and long prompts: guards against short requests that wait
 // while an engine prefills long prompts.
-func TestShortRequestsAvoidEnginesThatReadLongPrompts(t *testing.T) {
+func TestShortRequestsAvoidEnginesThatPrefillLongPrompts(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestPlacer(clock, 3)
 	busy := map[string]bool{}
@@ -154,32 +154,32 @@
 
 // Scenario srv_crash dark: guards against each front losing a request to an
 // unresponsive engine, and against an engine that is never used again after it
-// comes back.
+// becomes reachable.
 func TestUnreachableEngineIsAnnouncedAndUsedAgainOnceReachable(t *testing.T) {
 	clock := newFakeClock()
 	fronts := []*Placer{newTestPlacer(clock, 2), newTestPlacer(clock, 2)}
 	c := mustChoose(t, fronts[0], shortPrompt(1))
-	lost := c.Target.ID
+	unreachable := c.Target.ID
 	fronts[0].Done(c, Unreachable)
 	exchangeHints(fronts)
 	for i, p := range fronts {
 		for n := range uint64(5) {
-			if got := mustChoose(t, p, shortPrompt(10+n)); got.Target.ID == lost {
+			if got := mustChoose(t, p, shortPrompt(10+n)); got.Target.ID == unreachable {
 				t.Fatalf("front %d placed a request at the unreachable engine", i)
 			}
 		}
-		if down := p.DownTargets(); len(down) != 1 || down[0].ID != lost {
+		if down := p.DownTargets(); len(down) != 1 || down[0].ID != unreachable {
 			t.Fatalf("front %d lists %v as down, want only the unreachable engine", i, down)
 		}
 	}
-	fronts[1].RecordReachable(lost)
+	fronts[1].RecordReachable(unreachable)
 	if len(fronts[1].DownTargets()) != 0 {
 		t.Error("engine is still marked as down after it was reached")
 	}
 	clock.advance(time.Minute)
 	seen := false
 	for n := range uint64(20) {
-		seen = seen || mustChoose(t, fronts[1], shortPrompt(50+n)).Target.ID == lost
+		seen = seen || mustChoose(t, fronts[1], shortPrompt(50+n)).Target.ID == unreachable
 	}
 	if !seen {
 		t.Error("engine gets no requests after it was reached")
@@ -235,9 +235,9 @@
 	p.ApplyHints([]byte{1, 2, 3, 4, 5, 6, 7, 8, 255})
 }
 
-// Guards against requests to targets that are draining or whose address now
+// Guards against requests to targets that are excluded or whose address now
 // belongs to another target.
-func TestClosedTargetsGetNoRequests(t *testing.T) {
+func TestExcludedTargetsGetNoRequests(t *testing.T) {
 	p := newTestPlacer(newFakeClock(), 2)
 	c := mustChoose(t, p, shortPrompt(1))
 	p.Done(c, Misdirected)
--- a/internal/placement/restart_test.go
+++ b/internal/placement/restart_test.go
@@ -3,7 +3,8 @@
 import "testing"
 
 // Guards against prompts that are placed at an engine because of parts that it
-// cached before it restarted under the same ID.
+// cached before it restarted under the same ID: the restart has emptied its
+// cache.
 func TestRestartedEngineHasEmptyCache(t *testing.T) {
 	p := New("a", "r", newFakeClock().read)
 	list := testEngines(1, 1)
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -104,13 +104,14 @@
 	return sum
 }
 
-// mayBeEvicted reports whether the store may no longer hold a part.
+// mayBeEvicted reports whether the store has possibly lost a part, by eviction
+// or by a restart.
 func (s *store) mayBeEvicted(now time.Time, p savedPart) bool {
 	return now.Sub(p.savedAt) > resaveAge || s.insertedTokens-p.insertedTokens > cacheFraction*float64(s.CapacityTokens)
 }
 
-// recordSave records that an engine saves the parts of a prompt and prefills
-// the given number of tokens of them.
+// recordSave records that an engine saves the parts of a prompt, of which it
+// prefills the given number of tokens.
 func (s *store) recordSave(now time.Time, parts []uint32, weights uint64, prefilled float64) {
 	s.insertedTokens += prefilled
 	for _, part := range parts {
@@ -121,7 +122,7 @@
 	}
 }
 
-// evictParts removes the parts that the store may no longer hold, or all of them
+// evictParts removes the parts that the store has possibly lost, or all of them
 // if too many are left.
 func (s *store) evictParts(now time.Time) {
 	for key, saved := range s.parts {
@@ -143,8 +144,8 @@
 	return crossZoneFactor * s.TransferMSPerToken
 }
 
-// recordSave records that a prompt was sent to an engine that saves its shared
-// parts.
+// recordSave records, at the store of the prompt, that the prompt was placed at
+// an engine that saves its shared parts.
 func (p *Placer) recordSave(now time.Time, m *member, shared []uint32, prefilled float64) {
 	if len(shared) == 0 {
 		return
--- a/internal/placement/store_test.go
+++ b/internal/placement/store_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// Guards against a store that stays empty after a restart.
+// Guards against a store that stays empty after a restart: it does not announce
+// the restart, so fronts still count the parts as held.
 func TestPartsAreSavedAgainAfterResaveAge(t *testing.T) {
 	clock := newFakeClock()
 	p := withStore(newTestPlacer(clock, 1), "r")
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -14,8 +14,8 @@
 // window here advances slot by slot.
 const budgetFraction = 0.7
 
-// Budget limits the retries to each service. Each front may use an equal share
-// of Slack, and Ratio of its own requests.
+// Budget limits the retries to each service. Each front may make retries up to
+// Ratio times the number of its own requests, plus an equal share of Slack.
 type Budget struct {
 	// Ratio and Slack limit the retries of all fronts within Window: to Ratio
 	// times the number of requests, plus Slack.
@@ -34,9 +34,9 @@
 	}
 }
 
-// slot returns the window of a service and the current tick. It clears the slot
-// of that tick if the slot still has the counts of an earlier one.
-func (b *Budget) slot(service string, now time.Time) (*budgetWindow, int64) {
+// windowAt returns the window of a service and the tick of now. It clears the
+// slot of that tick if the slot still has the counts of an earlier one.
+func (b *Budget) windowAt(service string, now time.Time) (*budgetWindow, int64) {
 	if b.services == nil {
 		b.services = make(map[string]*budgetWindow)
 	}
@@ -57,7 +57,7 @@
 func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w, tick := b.slot(service, now)
+	w, tick := b.windowAt(service, now)
 	w.slots[tick%budgetSlots].requests++
 }
 
@@ -66,7 +66,7 @@
 func (b *Budget) TakeRetry(service string, now time.Time, fronts int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w, tick := b.slot(service, now)
+	w, tick := b.windowAt(service, now)
 	requests, retries := 0.0, 0.0
 	for i := range w.slots {
 		if s := &w.slots[i]; tick-s.tick < budgetSlots {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// maxEventBytes limits the size of one event of a stream.
+// maxEventBytes limits the size of one event of a stream, which is buffered.
 const maxEventBytes = 1 << 20
 
 // event is one event of a server-sent event stream, including the blank line
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -43,9 +43,9 @@
 
 // Limits on the time and resources of a request.
 const (
-	// maxQuotaWait is the longest time that a request waits for its quota
-	// before it is rejected. It is less than half of the shortest latency
-	// objective.
+	// maxQuotaWait is the longest time that a request waits for its quota; a
+	// request that would have to wait longer is rejected at once. It is less
+	// than half of the shortest latency objective.
 	maxQuotaWait = 120 * time.Millisecond
 	// maxStateWait is the longest time that a request waits at a front that has
 	// just started or lost its connection to the core: about the duration of an
@@ -98,7 +98,7 @@
 	targetID       string
 	reason         string
 	firstByteAfter time.Duration
-	// choice is the latest choice of a target.
+	// choice is the choice made for the latest attempt.
 	choice *placement.Choice
 }
 
@@ -120,14 +120,16 @@
 	c.finish(code)
 }
 
-func (c *call) refuse(f *refusal) {
-	if f.status == http.StatusServiceUnavailable || f.status == http.StatusTooManyRequests {
+func (c *call) refuse(refused *refusal) {
+	if refused.status == http.StatusServiceUnavailable || refused.status == http.StatusTooManyRequests {
 		c.refundQuota()
 	}
-	if f.status == 0 {
+	if refused.status == 0 {
+		// The caller gets no error response: its connection is aborted, or it
+		// has disconnected.
 		return
 	}
-	f.write(c.w, c.request.ID)
+	refused.write(c.w, c.request.ID)
 }
 
 func (c *call) refundQuota() {
@@ -154,12 +156,12 @@
 	if c.route == nil {
 		return &errNoRoute
 	}
-	if f := c.authenticate(); f != nil {
-		return f
+	if refused := c.authenticate(); refused != nil {
+		return refused
 	}
 	c.setDeadline()
-	if f := c.readBody(); f != nil {
-		return f
+	if refused := c.readBody(); refused != nil {
+		return refused
 	}
 	c.service = c.route.Pick(rand.Float64())
 	c.Budget.RecordRequest(c.service, c.started)
@@ -312,7 +314,7 @@
 	return c.route.Priority
 }
 
-// run sends the request to one target after another until it is finished.
+// run makes attempts at one target after another until the request is finished.
 func (c *call) run() *refusal {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
@@ -332,8 +334,8 @@
 		c.choice = choice
 		result := c.send(ctx, choice)
 		c.Placer.Done(choice, result.placement())
-		if done, f := c.afterAttempt(result); done {
-			return f
+		if done, refused := c.afterAttempt(result); done {
+			return refused
 		}
 		c.Logger.Info("retrying request after failed attempt", zap.String("id", c.request.ID), zap.String("target", c.targetID),
 			zap.String("result", result.String()), zap.String("reason", c.reason), zap.Int64("last_event", c.lastEventID))
@@ -387,10 +389,11 @@
 	return &errNoTarget
 }
 
-// endFailed finishes a request that may have run. The caller gets the error
-// response of the target, if there is one and no headers were sent; a stream
-// that has begun is aborted.
-func (c *call) endFailed(f *refusal) *refusal {
+// endFailed finishes a failed request. A stream that has begun is aborted.
+// Otherwise the caller gets the error response of a target, if there is one. A
+// request that cannot have run gets errTargetsFull, and any other one the given
+// refusal.
+func (c *call) endFailed(refused *refusal) *refusal {
 	switch {
 	case c.headersSent:
 		return &errAborted
@@ -400,5 +403,5 @@
 	case c.possibleRuns == 0:
 		return &errTargetsFull
 	}
-	return f
+	return refused
 }
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -9,8 +9,8 @@
 	"github.com/cuminwing/cuminwing/internal/gatewayconfig"
 )
 
-// finish writes the log entry of the request, and aborts the connection to the
-// caller if the response is incomplete.
+// finish reports the outcome of the request to Observe and the log, and aborts
+// the connection to the caller if the response is incomplete.
 func (c *call) finish(code string) {
 	took := time.Since(c.started)
 	kind := gatewayconfig.RunOnce
--- a/internal/proxy/ports.go
+++ b/internal/proxy/ports.go
@@ -1,4 +1,4 @@
-// Package proxy proxies the requests of callers to targets byte for byte. It
+// Package proxy forwards the requests of callers to targets byte for byte. It
 // does admission by key, quota and route, chooses a target, retries where the
 // route permits it, and resumes streams at another engine.
 package proxy
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/proxy_test.go
@@ -256,7 +256,8 @@
 	}
 }
 
-// Guards against rejecting a request that no target has run.
+// Guards against failing a request with the refusal of one target, which did not
+// run it, although another target can.
 func TestRequestNotRunByTargetIsRetriedElsewhere(t *testing.T) {
 	full := newTarget(t, respond("503 Service Unavailable", "Not-Run: 1\r\n", ""))
 	second := newTarget(t, respondOK("second"))
@@ -279,9 +280,10 @@
 	}
 }
 
-// Guards against a response to another request: a target sends a second
-// response, which arrives where the next one is expected.
-func TestStrayAnswerOnAConnectionIsSkipped(t *testing.T) {
+// Guards against delivering the response to another request: a target sends two
+// responses to one request, and the second one arrives where the response to the
+// next request is expected.
+func TestStrayResponseOnAConnectionIsSkipped(t *testing.T) {
 	stray := func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 5\r\n\r\nwrong")
 		return respondOK("right")(conn, r)
@@ -293,7 +295,7 @@
 }
 
 // Guards against delivering a response that lacks the target's signature.
-func TestAnswerWithoutSignatureIsNoSuccess(t *testing.T) {
+func TestResponseWithoutSignatureIsNoSuccess(t *testing.T) {
 	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respond("200 OK", "", "forged")))
 	resp, body, err := f.call(t, "r1", "POST", "b")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || strings.Contains(body, "forged") {
@@ -301,8 +303,8 @@
 	}
 }
 
-// Guards against a truncated response that looks complete.
-func TestTruncatedAnswerIsNoSuccess(t *testing.T) {
+// Guards against delivering a truncated response as if it were complete.
+func TestTruncatedResponseIsNoSuccess(t *testing.T) {
 	truncated := func(conn net.Conn, r *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 50\r\n\r\nhalf", r.Header.Get("Id"))
 		return false
@@ -313,8 +315,8 @@
 	}
 }
 
-// respondEarly responds to each request before it reads the body, and reports
-// any bytes of the body that the front did not send as such.
+// respondEarly responds to each request before it reads the body, whose bytes
+// are all "x", and reports any other bytes that arrive in place of the body.
 func respondEarly(conn net.Conn, report chan<- string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -326,7 +328,7 @@
 		respondOK("early")(conn, r)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			// Closing the connection is allowed as well.
+			// The front may also close the connection instead.
 			report <- ""
 			return
 		}
@@ -337,7 +339,7 @@
 // Guards against a connection that is reused although a target has responded
 // before it read a long body: no other bytes must arrive in place of the rest
 // of the body.
-func TestTargetThatAnswersEarlyGetsNothingButTheBody(t *testing.T) {
+func TestTargetThatRespondsEarlyGetsNothingButTheBody(t *testing.T) {
 	report := make(chan string, 8)
 	address, stop, err := loopback.Serve(func(conn net.Conn) { respondEarly(conn, report) })
 	if err != nil {
@@ -355,7 +357,7 @@
 	}
 }
 
-// Guards against a resumable stream that ends when its engine dies, and against
+// Guards against a resumable stream that ends when its engine fails, and against
 // missing or duplicate events.
 func TestResumableStreamContinuesAtAnotherEngine(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1), eventText(2), "id: 3\nda"))
@@ -373,7 +375,7 @@
 
 // Guards against a truncated stream that looks complete to the caller, and
 // against a second run of a stream that must not be resumed.
-func TestStreamThatCannotGoOnIsBrokenOff(t *testing.T) {
+func TestStreamThatCannotBeResumedIsAborted(t *testing.T) {
 	dying := newTarget(t, streamResponse(false, eventText(1)))
 	second := newTarget(t, streamResponse(true, eventText(2)))
 	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunStream, MaxAttempts: 2}, dying, second)
@@ -388,7 +390,7 @@
 
 // Guards against engines that continue to work for a caller that has
 // disconnected.
-func TestEngineIsLeftWhenTheCallerLeaves(t *testing.T) {
+func TestEngineConnectionIsClosedWhenTheCallerDisconnects(t *testing.T) {
 	closed := make(chan struct{})
 	waiting := newTarget(t, func(conn net.Conn, _ *http.Request) bool {
 		_, _ = conn.Read(make([]byte, 1))
@@ -435,7 +437,7 @@
 
 // Guards against more retries than the fleet may make: a front must stop at its
 // share of the budget.
-func TestBudgetEndsRepeats(t *testing.T) {
+func TestBudgetLimitsRetries(t *testing.T) {
 	b := &Budget{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	for range 100 {
@@ -455,7 +457,7 @@
 
 // Scenario with all processes killed: guards against callers whose only retry
 // is rejected by a front that gets its state a moment later.
-func TestRequestWaitsForAFrontThatHasJustStarted(t *testing.T) {
+func TestRequestWaitsForTheStateOfAFrontThatHasJustStarted(t *testing.T) {
 	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respondOK("fine")))
 	ready := f.getState()
 	f.setState(State{})
@@ -484,7 +486,7 @@
 	}
 }
 
-// recorder records the reported results.
+// recorder is a Placer that records the results reported to Done.
 type recorder struct {
 	Placer
 	mu      sync.Mutex
@@ -498,9 +500,9 @@
 	r.Placer.Done(c, result)
 }
 
-// Guards against a target that all fronts mark as down because a caller has
-// disconnected while the connection was being opened.
-func TestCallerLeavingDuringDialIsNotATargetFailure(t *testing.T) {
+// Guards against a target that all fronts mark as down because a caller
+// disconnected while the connection to the target was being opened.
+func TestCallerDisconnectDuringDialIsNotATargetFailure(t *testing.T) {
 	f := newFront(t, gatewayconfig.Route{Kind: gatewayconfig.RunOnce}, newTarget(t, respondOK("fine")))
 	r := &recorder{Placer: f.handler.Placer}
 	f.handler.Placer = r
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -74,7 +74,8 @@
 	// response is read, because a target may respond before it has read the
 	// complete body.
 	concurrentBodyBytes = 8 << 10
-	// maxStrayResponses limits the skipped responses to earlier requests.
+	// maxStrayResponses limits how many responses are read from a connection in
+	// search of the one to this request.
 	maxStrayResponses = 4
 	// maxResponseBytes limits a response that is buffered.
 	maxResponseBytes = 32 << 20
@@ -147,8 +148,8 @@
 	return s.forwardBuffered(resp, meta)
 }
 
-// errIncompleteWrite means that the target cannot have received the complete
-// request.
+// errIncompleteWrite marks write errors after which the target cannot have
+// received the complete request.
 var errIncompleteWrite = errors.New("request was only partly written")
 
 // writeFailure returns the result of an attempt whose request could not be
@@ -342,8 +343,8 @@
 	return resultDelivered
 }
 
-// impliesNotRun reports whether callers may take a status as a guarantee that
-// the request has not run.
+// impliesNotRun reports whether a status lets callers conclude that the request
+// has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -402,7 +403,7 @@
 }
 
 // endStream passes on the bytes after the last complete event if the stream has
-// ended regularly.
+// ended without an error.
 func (s *exchange) endStream(resp *http.Response, rest event, err error) result {
 	if !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		s.reason = "stream broke off: " + err.Error()
--- a/internal/servicepick/picker.go
+++ b/internal/servicepick/picker.go
@@ -48,9 +48,9 @@
 	replicas = slices.DeleteFunc(replicas, func(t *target.Target) bool { return slices.Contains(req.Exclude, t.Ref()) })
 	healthy := slices.DeleteFunc(slices.Clone(replicas), func(t *target.Target) bool { return !p.Health.Usable(t.Ref()) })
 	if len(healthy) > 0 {
-		// If no replica is usable, ignore the circuit breakers: when all of
-		// them are open, they are as likely to be wrong as the replicas are to
-		// be down.
+		// If no replica is usable, all of them stay candidates: circuit
+		// breakers that are all open are as likely to be wrong as the replicas
+		// are to be down.
 		replicas = healthy
 	}
 	if len(replicas) == 0 {
@@ -68,7 +68,8 @@
 }
 
 // Costs are in units of requests in flight. A replica in another zone is picked
-// once the replicas in the own zone have this many more requests each.
+// once each replica in this VM's zone has otherZoneCost more requests in flight;
+// otherRegionCost does the same for regions.
 const (
 	otherZoneCost   = 16
 	otherRegionCost = 1024
