--- a/internal/adapter/replica/calls.go
+++ b/internal/adapter/replica/calls.go
@@ -290,8 +290,8 @@
 }
 
 // waitForNewLeader blocks until another replica leads. This replica must keep
-// running until then, because otherwise it could stop before its request to
-// campaign is sent.
+// running until then, because its MsgTimeoutNow, with which it requests the
+// election of its successor, may not have been sent yet.
 func (r *Replica) waitForNewLeader(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if leader := r.Status().Leader; leader != "" && leader != r.config.ID {
--- a/internal/adapter/replica/cluster_test.go
+++ b/internal/adapter/replica/cluster_test.go
@@ -72,7 +72,7 @@
 	return slices.Clone(r.history)
 }
 
-// vm is one VM of a test. Its replica may be stopped and restarted with the same
+// vm is one VM of a test. Its replica can be stopped and restarted with the same
 // address and folder.
 type vm struct {
 	name     string
@@ -169,11 +169,11 @@
 	failSync *atomic.Bool
 }
 
-func (b syncFaultFile) Sync() error {
-	if b.failSync.Load() {
+func (f syncFaultFile) Sync() error {
+	if f.failSync.Load() {
 		return syscall.EIO
 	}
-	return b.File.Sync()
+	return f.File.Sync()
 }
 
 // stop stops a VM without a leadership transfer, to simulate a crash.
--- a/internal/adapter/replica/linear_test.go
+++ b/internal/adapter/replica/linear_test.go
@@ -54,8 +54,9 @@
 
 // Guards against violations of linearizability during a failed disk sync on the
 // leader, a leadership transfer, and lost requests and responses. A proposal must
-// not take effect twice, after it was reported as not committed, or before or
-// after its call, and its response must match the state at its log index.
+// not take effect twice, nor at all if it was reported as not committed, nor
+// before the start or after the end of its call. Its response must match the
+// state at its log index.
 func TestLinearizable(t *testing.T) {
 	const clients, calls = 6, 40
 	c := newCluster(t, 3)
@@ -74,16 +75,16 @@
 		})
 	}
 	waitForCount(&finished, clients*calls/3)
-	crashed := c.leader(c.vms...)
-	crashed.replica.enqueue(func() { crashed.failSync.Store(true) })
+	failing := c.leader(c.vms...)
+	failing.replica.enqueue(func() { failing.failSync.Store(true) })
 	waitForCount(&finished, clients*calls*2/3)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-	_ = c.leader(c.others(crashed)...).replica.Transfer(ctx)
+	_ = c.leader(c.others(failing)...).replica.Transfer(ctx)
 	cancel()
 	wg.Wait()
 	c.faults.enabled.Store(false)
-	propose(t, c.others(crashed)[0], 1<<40)
-	checkHistory(t, slices.Concat(results...), c.others(crashed)[0].state.values())
+	propose(t, c.others(failing)[0], 1<<40)
+	checkHistory(t, slices.Concat(results...), c.others(failing)[0].state.values())
 }
 
 func waitForCount(counter *atomic.Int64, count int64) {
--- a/internal/adapter/replica/log.go
+++ b/internal/adapter/replica/log.go
@@ -24,7 +24,8 @@
 	// attemptTimeout bounds a single barrier or status call to one VM, so that
 	// an unresponsive connection does not use up the caller's deadline.
 	attemptTimeout = ElectionTimeout
-	// retryDelay is the delay between two attempts of a call.
+	// retryDelay is the delay between two attempts of a call, and between two
+	// checks for a new leader.
 	retryDelay = 20 * time.Millisecond
 	// maxLeaderAge is the age at which a VM without an active replica refreshes
 	// what it knows about the leader.
--- a/internal/adapter/replica/replica.go
+++ b/internal/adapter/replica/replica.go
@@ -33,7 +33,7 @@
 	maxAppendBytes = 256 << 10
 	// maxInflight bounds the entries sent to a replica but not acknowledged.
 	maxInflight = 4096
-	// maxUncommitted bounds the entries of a leader that are not committed.
+	// maxUncommitted bounds the uncommitted entries of a leader.
 	maxUncommitted = 16384
 	// snapshotChunkBytes bounds the snapshot data in one message.
 	snapshotChunkBytes = 256 << 10
@@ -210,8 +210,8 @@
 			return
 		case <-ticker.C:
 			r.node.Tick()
-		case w := <-r.snapshotDone:
-			if err := r.finishSnapshot(w); err != nil {
+		case result := <-r.snapshotDone:
+			if err := r.finishSnapshot(result); err != nil {
 				r.shutdown(err)
 				return
 			}
@@ -367,17 +367,17 @@
 
 // finishSnapshot makes a written snapshot the current one and removes the files
 // and log entries that it replaces.
-func (r *Replica) finishSnapshot(w snapshotResult) error {
+func (r *Replica) finishSnapshot(result snapshotResult) error {
 	r.writingSnapshot = false
-	if w.err != nil {
-		return w.err
+	if result.err != nil {
+		return result.err
 	}
-	if err := r.store.ActivateSnapshot(w.meta); err != nil {
+	if err := r.store.ActivateSnapshot(result.meta); err != nil {
 		return err
 	}
-	if w.meta.Index > r.snapshot.Index {
-		r.node.Compact(w.meta, retainEntries)
-		r.snapshot = w.meta
+	if result.meta.Index > r.snapshot.Index {
+		r.node.Compact(result.meta, retainEntries)
+		r.snapshot = result.meta
 	}
 	return nil
 }
--- a/internal/adapter/replica/replica_test.go
+++ b/internal/adapter/replica/replica_test.go
@@ -171,7 +171,7 @@
 		want    error
 	}{
 		{"connection refused", refused.Addr().String(), control.ErrNotCommitted},
-		{"answer lost", aborting.Listener.Addr().String(), control.ErrUncertain},
+		{"response lost", aborting.Listener.Addr().String(), control.ErrUncertain},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/adapter/replica/server.go
+++ b/internal/adapter/replica/server.go
@@ -17,9 +17,9 @@
 func (s Server) Step(_ context.Context, request *raftv1.StepRequest) (*raftv1.StepResponse, error) {
 	messages := make([]raft.Message, 0, len(request.GetMessages()))
 	for _, m := range request.GetMessages() {
-		// Drop messages addressed to another replica that has used this
-		// address. This replica would count them as votes or acknowledgements
-		// that the sender gave to it.
+		// Drop messages for another replica that has used this address.
+		// Otherwise this replica would count votes and acknowledgements that
+		// the sender gave to the other one.
 		if m.GetTo() == s.Replica.config.ID {
 			messages = append(messages, decodeMessage(m))
 		}
--- a/internal/control/configstate/bench_test.go
+++ b/internal/control/configstate/bench_test.go
@@ -37,14 +37,14 @@
 
 func replay(tb testing.TB, commands [][]byte) *StateMachine {
 	tb.Helper()
-	p := newPart()
+	m := newTestStateMachine()
 	for i, c := range commands {
-		p.Apply(uint64(i+1), applyTime, c)
+		m.Apply(uint64(i+1), applyTime, c)
 	}
-	if p.State().Revision != uint64(len(commands)) {
-		tb.Fatalf("document is at revision %d after %d edits", p.State().Revision, len(commands))
+	if m.State().Revision != uint64(len(commands)) {
+		tb.Fatalf("document is at revision %d after %d edits", m.State().Revision, len(commands))
 	}
-	return p
+	return m
 }
 
 // BenchmarkRestartFromLog replays the commands of one day without a snapshot.
@@ -55,8 +55,8 @@
 	}
 }
 
-// BenchmarkRestartFromSnapshot restores the state after the same commands from
-// a snapshot.
+// BenchmarkRestartFromSnapshot restores, from a snapshot, the state that the same
+// commands produce.
 func BenchmarkRestartFromSnapshot(b *testing.B) {
 	data, err := replay(b, dayOfCommands(b)).Snapshot()
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	b.ReportMetric(float64(len(data)), "snapshot-bytes")
 	for b.Loop() {
-		if err := newPart().Restore(data); err != nil {
+		if err := newTestStateMachine().Restore(data); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -73,8 +73,8 @@
 // BenchmarkApplyEdit applies edits of one workspace to a document of the design
 // size and reports the size of one command.
 func BenchmarkApplyEdit(b *testing.B) {
-	p := newPart()
-	apply(b, p, 1, firstEdit(b, benchWorkspaces))
+	m := newTestStateMachine()
+	apply(b, m, 1, firstEdit(b, benchWorkspaces))
 	index, commandSize := uint64(1), 0
 	for b.Loop() {
 		body, err := proto.Marshal(rateEdit(fmt.Sprintf("edit-%024d", index), index, "workspace-0007", int(index)))
@@ -83,9 +83,9 @@
 		}
 		commandSize = len(body)
 		index++
-		p.Apply(index, applyTime, body)
+		m.Apply(index, applyTime, body)
 	}
-	if p.State().Revision != index {
+	if m.State().Revision != index {
 		b.Fatal("an edit was rejected")
 	}
 	b.ReportMetric(float64(commandSize), "command-bytes")
@@ -94,13 +94,13 @@
 // BenchmarkAddKeyBytes reports the size of the command that adds a key to one of
 // 1,900 workspaces. The command repeats the keys of that workspace only.
 func BenchmarkAddKeyBytes(b *testing.B) {
-	p := newPart()
-	apply(b, p, 1, firstEdit(b, benchWorkspaces))
+	m := newTestStateMachine()
+	apply(b, m, 1, firstEdit(b, benchWorkspaces))
 	key := testDocument(1).Workspaces["workspace-0000"].Keys[0]
 	key.ID = "added"
 	var commandSize, documentSize int
 	for b.Loop() {
-		state := p.State()
+		state := m.State()
 		patch, err := state.Sections["workspaces"].Contents.AppendKey("workspace-0007", key)
 		if err != nil {
 			b.Fatal(err)
@@ -118,10 +118,10 @@
 // FuzzDecode checks that a state which Decode accepts encodes and decodes
 // again. Encoded states come from peers and files.
 func FuzzDecode(f *testing.F) {
-	p := newPart()
-	apply(f, p, 1, firstEdit(f, 2))
-	apply(f, p, 2, rateEdit("a", 1, "workspace-0001", 5))
-	data, err := p.State().Encode()
+	m := newTestStateMachine()
+	apply(f, m, 1, firstEdit(f, 2))
+	apply(f, m, 2, rateEdit("a", 1, "workspace-0001", 5))
+	data, err := m.State().Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -150,14 +150,14 @@
 	}
 	f.Add(body)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		p := newPart()
-		apply(t, p, 1, firstEdit(t, 2))
-		p.Apply(2, applyTime, body)
-		data, err := p.Snapshot()
+		m := newTestStateMachine()
+		apply(t, m, 1, firstEdit(t, 2))
+		m.Apply(2, applyTime, body)
+		data, err := m.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := newPart().Restore(data); err != nil {
+		if err := newTestStateMachine().Restore(data); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/control/configstate/state.go
+++ b/internal/control/configstate/state.go
@@ -154,7 +154,7 @@
 }
 
 // Since returns the changes after revision, oldest first. It reports false if
-// the history does not reach back to revision, or if s is not that recent.
+// the history does not reach back to revision, or if s is older than revision.
 func (s *State) Since(revision uint64) ([]*configv1.Change, bool) {
 	if revision == s.Revision {
 		return nil, true
--- a/internal/control/configstate/statemachine_test.go
+++ b/internal/control/configstate/statemachine_test.go
@@ -12,7 +12,7 @@
 
 var applyTime = time.UnixMilli(1_700_000_000_000)
 
-func newPart() *StateMachine { return NewStateMachine(func() {}) }
+func newTestStateMachine() *StateMachine { return NewStateMachine(func() {}) }
 
 func testDocument(workspaces int) config.Document {
 	d := config.Document{
@@ -44,14 +44,14 @@
 	return &configv1.Edit{Id: id, Sections: []*configv1.SectionEdit{{Section: "rates", BaseRevision: base, Patch: []byte(patch)}}}
 }
 
-func apply(t testing.TB, p *StateMachine, index uint64, edit *configv1.Edit) *configv1.EditResult {
+func apply(t testing.TB, m *StateMachine, index uint64, edit *configv1.Edit) *configv1.EditResult {
 	t.Helper()
 	body, err := proto.Marshal(edit)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var result configv1.EditResult
-	if err := proto.Unmarshal(p.Apply(index, applyTime, body), &result); err != nil {
+	if err := proto.Unmarshal(m.Apply(index, applyTime, body), &result); err != nil {
 		t.Fatal(err)
 	}
 	return &result
@@ -68,44 +68,44 @@
 // two edits with the same base revision only the first is accepted; the conflict
 // reported for the second names the first.
 func TestRacingEditsHaveOneWinner(t *testing.T) {
-	p := newPart()
-	wantOutcome(t, apply(t, p, 5, firstEdit(t, 2)), configv1.Outcome_OUTCOME_ACCEPTED)
-	wantOutcome(t, apply(t, p, 6, rateEdit("a", 5, "workspace-0000", 10)), configv1.Outcome_OUTCOME_ACCEPTED)
-	rejected := apply(t, p, 7, rateEdit("b", 5, "workspace-0001", 20))
+	m := newTestStateMachine()
+	wantOutcome(t, apply(t, m, 5, firstEdit(t, 2)), configv1.Outcome_OUTCOME_ACCEPTED)
+	wantOutcome(t, apply(t, m, 6, rateEdit("a", 5, "workspace-0000", 10)), configv1.Outcome_OUTCOME_ACCEPTED)
+	rejected := apply(t, m, 7, rateEdit("b", 5, "workspace-0001", 20))
 	wantOutcome(t, rejected, configv1.Outcome_OUTCOME_CONFLICT)
 	if c := rejected.GetConflicts(); len(c) != 1 || c[0].GetRevision() != 6 || c[0].GetEditId() != "a" {
 		t.Fatalf("conflict names %v, want revision 6 of edit a", c)
 	}
-	if got := p.State().Document.Rates["workspace-0001"].RateTokensPerSecond; got != 1000 {
+	if got := m.State().Document.Rates["workspace-0001"].RateTokensPerSecond; got != 1000 {
 		t.Fatalf("the rejected edit changed the rate to %v", got)
 	}
 }
 
 // Guards against a retried edit being executed twice or getting a different
 // result, including after a snapshot is restored.
-func TestResendGetsStoredAnswer(t *testing.T) {
-	p := newPart()
-	apply(t, p, 5, firstEdit(t, 2))
-	accepted := apply(t, p, 6, rateEdit("a", 5, "workspace-0000", 10))
-	rejected := apply(t, p, 7, rateEdit("b", 5, "workspace-0000", 20))
-	data, err := p.Snapshot()
+func TestRetriedEditGetsStoredResult(t *testing.T) {
+	m := newTestStateMachine()
+	apply(t, m, 5, firstEdit(t, 2))
+	accepted := apply(t, m, 6, rateEdit("a", 5, "workspace-0000", 10))
+	rejected := apply(t, m, 7, rateEdit("b", 5, "workspace-0000", 20))
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := newPart()
+	restored := newTestStateMachine()
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []*StateMachine{p, restored} {
-		if again := apply(t, part, 8, rateEdit("a", 5, "workspace-0000", 10)); !proto.Equal(again, accepted) {
+	for _, machine := range []*StateMachine{m, restored} {
+		if again := apply(t, machine, 8, rateEdit("a", 5, "workspace-0000", 10)); !proto.Equal(again, accepted) {
 			t.Fatalf("retry of the accepted edit returned %v, want %v", again, accepted)
 		}
-		if again := apply(t, part, 9, rateEdit("b", 5, "workspace-0000", 20)); !proto.Equal(again, rejected) {
+		if again := apply(t, machine, 9, rateEdit("b", 5, "workspace-0000", 20)); !proto.Equal(again, rejected) {
 			t.Fatalf("retry of the rejected edit returned %v, want %v", again, rejected)
 		}
-		wantOutcome(t, apply(t, part, 10, rateEdit("a", 6, "workspace-0000", 30)), configv1.Outcome_OUTCOME_ID_REUSED)
-		if part.State().Revision != 6 {
-			t.Fatalf("a retry changed the revision to %d", part.State().Revision)
+		wantOutcome(t, apply(t, machine, 10, rateEdit("a", 6, "workspace-0000", 30)), configv1.Outcome_OUTCOME_ID_REUSED)
+		if machine.State().Revision != 6 {
+			t.Fatalf("a retry changed the revision to %d", machine.State().Revision)
 		}
 	}
 }
@@ -113,18 +113,18 @@
 // Guards against accepting an edit that makes sections inconsistent with each
 // other.
 func TestMergedDocumentMustValidate(t *testing.T) {
-	p := newPart()
-	apply(t, p, 5, firstEdit(t, 2))
+	m := newTestStateMachine()
+	apply(t, m, 5, firstEdit(t, 2))
 	edit := &configv1.Edit{Id: "drop", Sections: []*configv1.SectionEdit{
 		{Section: "models", BaseRevision: 5, Patch: []byte(`{"gutachter":null}`)},
 		{Section: "rates", BaseRevision: 5, Patch: []byte(`{"workspace-0001":null}`)},
 	}}
-	result := apply(t, p, 6, edit)
+	result := apply(t, m, 6, edit)
 	wantOutcome(t, result, configv1.Outcome_OUTCOME_INVALID)
 	if len(result.GetProblems()) != 2 {
 		t.Fatalf("got problems %v, want one for each section", result.GetProblems())
 	}
-	if p.State().Revision != 5 {
+	if m.State().Revision != 5 {
 		t.Fatal("a rejected edit changed the document")
 	}
 }
@@ -132,17 +132,17 @@
 // Guards against stored results using memory without bound, and against dropping
 // a result before MaxResults later ones are stored.
 func TestResultsAreKeptForStatedNumber(t *testing.T) {
-	p := newPart()
-	apply(t, p, 1, firstEdit(t, 1))
+	m := newTestStateMachine()
+	apply(t, m, 1, firstEdit(t, 1))
 	for i := range uint64(MaxResults) {
-		apply(t, p, i+2, rateEdit(fmt.Sprint("e", i), i+1, "workspace-0000", int(i)+1))
+		apply(t, m, i+2, rateEdit(fmt.Sprint("e", i), i+1, "workspace-0000", int(i)+1))
 	}
-	if len(p.results) != MaxResults || len(p.resultOrder) != MaxResults {
-		t.Fatalf("%d results are stored, want %d", len(p.results), MaxResults)
+	if len(m.results) != MaxResults || len(m.resultOrder) != MaxResults {
+		t.Fatalf("%d results are stored, want %d", len(m.results), MaxResults)
 	}
-	before := p.State().Revision
-	apply(t, p, before+1, rateEdit("e0", 1, "workspace-0000", 1))
-	if p.State().Revision != before {
+	before := m.State().Revision
+	apply(t, m, before+1, rateEdit("e0", 1, "workspace-0000", 1))
+	if m.State().Revision != before {
 		t.Fatal("the oldest stored result was lost, and the retried edit was executed")
 	}
 }
@@ -150,13 +150,13 @@
 // Guards against a VM applying a change that does not directly follow its
 // revision because the history has dropped the changes in between.
 func TestSinceCoversHistoryOrReportsGap(t *testing.T) {
-	p := newPart()
-	apply(t, p, 5, firstEdit(t, 1))
-	old := p.State()
+	m := newTestStateMachine()
+	apply(t, m, 5, firstEdit(t, 1))
+	old := m.State()
 	for i := range uint64(MaxHistoryChanges + 10) {
-		apply(t, p, i+6, rateEdit(fmt.Sprint("e", i), i+5, "workspace-0000", int(i)+1))
+		apply(t, m, i+6, rateEdit(fmt.Sprint("e", i), i+5, "workspace-0000", int(i)+1))
 	}
-	s := p.State()
+	s := m.State()
 	if _, ok := s.Since(5); ok {
 		t.Fatal("Since reported success for a revision whose next change was dropped")
 	}
@@ -176,12 +176,12 @@
 // history, which would send a rejected edit to VMs that catch up. Applying the
 // log and pulling changes from another VM can derive two such states.
 func TestStatesDoNotShareHistory(t *testing.T) {
-	p := newPart()
-	apply(t, p, 1, firstEdit(t, 1))
+	m := newTestStateMachine()
+	apply(t, m, 1, firstEdit(t, 1))
 	for i := range uint64(2) {
-		apply(t, p, i+2, rateEdit(fmt.Sprint("e", i), i+1, "workspace-0000", int(i)+1))
+		apply(t, m, i+2, rateEdit(fmt.Sprint("e", i), i+1, "workspace-0000", int(i)+1))
 	}
-	base := p.State()
+	base := m.State()
 	change := func(id string) *configv1.Change {
 		return &configv1.Change{Revision: 4, Previous: 3, Edit: rateEdit(id, 3, "workspace-0000", 9)}
 	}
--- a/internal/control/statemachine.go
+++ b/internal/control/statemachine.go
@@ -23,7 +23,7 @@
 // deterministic: the same calls must produce the same state on every voter.
 type StateMachine interface {
 	// Apply executes the command at the given log index and returns the
-	// response. Now never decreases from one command to the next.
+	// response. The time now never decreases from one command to the next.
 	Apply(index uint64, now time.Time, body []byte) []byte
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// campaign starts an election, or a pre-vote if kind is MsgPreVote. The pre-vote
-// prevents a replica that was partitioned from raising the term when it cannot
-// win an election.
+// campaign starts an election, or a pre-vote if kind is MsgPreVote. Without the
+// pre-vote, a replica that was partitioned would raise the term although it
+// cannot win an election.
 func (n *Node) campaign(kind MessageKind, transfer bool) {
 	now := n.config.Clock()
 	n.leader = ""
--- a/internal/raft/formation.go
+++ b/internal/raft/formation.go
@@ -16,8 +16,8 @@
 	// nonce distinguishes responses to this process from responses to an earlier
 	// one.
 	nonce uint64
-	// empty and bootstrapped hold, by ID, whether another replica answered that
-	// it has stored nothing, and that it has finished bootstrapping.
+	// empty and bootstrapped hold, for the ID of each replica that responded,
+	// whether it has stored nothing and whether it has finished bootstrapping.
 	empty        map[string]bool
 	bootstrapped map[string]bool
 	// finishUnsaved is set from the end of bootstrap until the caller has saved
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// readRequest is a ReadIndex call that waits until a majority has answered a
+// readRequest is a ReadIndex call that waits until a majority has responded to a
 // request of its round.
 type readRequest struct {
 	id    uint64
@@ -104,7 +104,7 @@
 	}
 }
 
-// active reports whether p has answered a request sent within the last lease
+// active reports whether p has responded to a request sent within the last lease
 // duration.
 func (n *Node) active(p *peer) bool {
 	return p.responded && n.config.Clock()-p.ackedSendTime < n.leaseDuration
@@ -289,9 +289,9 @@
 }
 
 // quorumAckedSendTime returns the latest time such that a majority of the voters
-// has answered requests sent then or later. For ElectionTimeout from that time,
-// no other candidate can get the votes of a majority. It returns false if no
-// majority has answered in this term.
+// has responded to requests sent then or later. For ElectionTimeout from that
+// time, no other candidate can get the votes of a majority. It returns false if
+// no majority has responded in this term.
 func (n *Node) quorumAckedSendTime() (time.Duration, bool) {
 	members := n.log.members()
 	responded := 0
@@ -310,8 +310,8 @@
 	return sendTime, responded >= members.Quorum()
 }
 
-// confirmReads completes the pending reads whose round a majority of the voters
-// has answered.
+// confirmReads completes the pending reads to whose round a majority of the
+// voters has responded.
 func (n *Node) confirmReads() {
 	if n.role != Leader || len(n.pendingReads) == 0 {
 		return
--- a/internal/raft/network_test.go
+++ b/internal/raft/network_test.go
@@ -82,8 +82,8 @@
 	simElectionTimeout = time.Second
 	simStep            = 5 * time.Millisecond
 	// simMaxRounds and simMaxInflightMessages limit the deliveries within one step
-	// and the messages in flight. They are exceeded only if replicas answer each
-	// other endlessly.
+	// and the messages in flight. They are exceeded only if replicas respond to
+	// each other endlessly.
 	simMaxRounds           = 2000
 	simMaxInflightMessages = 5000
 	simChunkBytes          = 7
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -40,7 +40,8 @@
 	Snapshot  SnapshotMeta
 	// Entries holds the entries after the snapshot.
 	Entries []Entry
-	// Set until a Ready has reported that the replica finished bootstrapping.
+	// Bootstrapping is set until a Ready has reported that the replica finished
+	// bootstrapping.
 	Bootstrapping bool
 }
 
@@ -48,9 +49,9 @@
 type Node struct {
 	config Config
 	id     string
-	// leaseDuration is ElectionTimeout reduced by the largest clock drift on both
-	// sides, so that the leader's lease ends before a follower can vote for
-	// another candidate.
+	// leaseDuration is ElectionTimeout reduced by the largest clock drift of both
+	// the leader and a follower, so that the leader's lease ends before a
+	// follower can vote for another candidate.
 	leaseDuration time.Duration
 
 	term uint64
@@ -113,10 +114,11 @@
 	probing   bool
 	lastProbe time.Duration
 	// ackedSendTime is the send time of the latest request that the replica has
-	// answered, and ackedRound the latest read round that it has answered.
+	// responded to, and ackedRound the latest read round that it has responded
+	// to.
 	ackedSendTime time.Duration
 	ackedRound    uint64
-	// responded is set once the replica has answered in this term.
+	// responded is set once the replica has responded in this term.
 	responded bool
 	// bootstrapped is set if the replica has finished bootstrapping.
 	bootstrapped bool
@@ -244,9 +246,9 @@
 	}
 }
 
-// handleHigherTerm processes the term of a message from a higher term. It
-// reports whether the caller should handle the message as one of the current
-// term.
+// handleHigherTerm processes the term of a message whose term is higher than the
+// current one. It reports whether the caller should handle the message as one of
+// the current term.
 func (n *Node) handleHigherTerm(m *Message) bool {
 	switch m.Kind {
 	case MsgPreVote:
@@ -266,8 +268,8 @@
 	return true
 }
 
-// handleLowerTerm rejects a request of a lower term, which tells its sender the
-// current term.
+// handleLowerTerm rejects an append, a snapshot or a pre-vote request whose term is
+// lower than the current one. The rejection tells the sender the current term.
 func (n *Node) handleLowerTerm(m *Message) {
 	switch m.Kind {
 	case MsgAppend, MsgSnapshot:
@@ -368,13 +370,13 @@
 	Last    uint64
 	First   uint64
 	Members Membership
-	// Set while the replica is bootstrapping: its disk was empty at the start and
-	// it must not vote.
+	// Bootstrapping is set while the replica must not vote because its disk was
+	// empty at the start.
 	Bootstrapping bool
 	// Match maps each other replica to its last entry known to match the
 	// leader's log. Only the leader sets it.
 	Match map[string]uint64
-	// Active reports for each other replica whether it has answered a request
+	// Active reports for each other replica whether it has responded to a request
 	// sent within the last lease duration. Only the leader sets it.
 	Active map[string]bool
 }
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// seeds are the random seeds of TestSchedules. A normal run plays schedulesPerSeed
-// schedules for each; RAFT_SCHEDULES sets another total.
+// seeds are the random seeds of TestSchedules. By default, the test runs
+// schedulesPerSeed schedules for each seed; RAFT_SCHEDULES sets another total.
 var seeds = []uint64{1, 2, 3, 5, 8, 13, 21, 34}
 
 const schedulesPerSeed = 20
@@ -36,10 +36,12 @@
 	return a
 }
 
-// Kinds below 8 are faults and the others are operations on a replica.
+// actionKinds is the number of action kinds. Kinds below 8 are faults and the
+// others are operations on a replica.
 const actionKinds = 19
 
-// act performs an operation on the leader if there is one, or injects a fault.
+// act injects a fault or performs an operation. Operations run on the leader if
+// there is one, except that the last kind compacts the log of any replica.
 func (w *network) act(a action) {
 	h := w.hosts[a.host%len(w.hosts)]
 	other := w.hosts[a.other%len(w.hosts)]
--- a/internal/raft/repair_test.go
+++ b/internal/raft/repair_test.go
@@ -37,7 +37,8 @@
 	return Change{}, limit
 }
 
-// Guards against the removal of a lost voter while no learner can replace it.
+// Guards against a voter set that shrinks because a lost voter is removed while
+// no learner can replace it.
 func TestLostVoterStaysWithoutALearner(t *testing.T) {
 	change, _ := runUntilChange(NewRepairer(), leaderStatus(members(3), "b"), time.Minute)
 	if change.Kind != 0 {
@@ -75,8 +76,9 @@
 	}
 }
 
-// Guards against a core of six replicas that tolerates only one failure.
-func TestLargeCoreGetsFiveVoters(t *testing.T) {
+// Guards against a group of six replicas that tolerates only one failure because
+// it has only three voters.
+func TestSixReplicasGetFiveVoters(t *testing.T) {
 	r := NewRepairer()
 	s := leaderStatus(members(3, "d", "e", "f"), "b", "c", "d", "e", "f")
 	promoted := 0
@@ -93,7 +95,7 @@
 		promoted++
 	}
 	if s.Members.VoterCount() != 5 {
-		t.Errorf("core of six has %d voters after %d promotions, want 5", s.Members.VoterCount(), promoted)
+		t.Errorf("a group of six replicas has %d voters after %d promotions, want 5", s.Members.VoterCount(), promoted)
 	}
 }
 
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -29,7 +29,7 @@
 }
 
 // SendingSnapshot reports whether a snapshot is being sent to an active replica.
-// The snapshot must stay readable until the transfer has finished.
+// The snapshot must stay readable until all of it has been sent.
 func (n *Node) SendingSnapshot() bool {
 	for _, p := range n.peers {
 		if p.snapshotIndex != 0 && n.active(p) {
@@ -75,36 +75,37 @@
 	}
 	if n.log.matches(m.Snapshot.Index, m.Snapshot.Term) {
 		// This replica may already have acknowledged entries after the snapshot,
-		// for example of an append that overtook it. They must be kept.
+		// for example from an append that overtook this message. They must be
+		// kept.
 		n.log.commit = m.Snapshot.Index
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: n.log.commit, SentAt: m.SentAt, ReadRound: m.ReadRound})
 		return
 	}
-	a := n.incoming
-	if a == nil || a.from != m.From || a.meta.Index != m.Snapshot.Index || a.meta.Term != m.Snapshot.Term {
-		a = &incomingSnapshot{meta: m.Snapshot, from: m.From}
-		n.incoming = a
+	incoming := n.incoming
+	if incoming == nil || incoming.from != m.From || incoming.meta.Index != m.Snapshot.Index || incoming.meta.Term != m.Snapshot.Term {
+		incoming = &incomingSnapshot{meta: m.Snapshot, from: m.From}
+		n.incoming = incoming
 	}
-	if m.Offset == uint64(len(a.data)) {
-		a.data = append(a.data, m.Data...)
+	if m.Offset == uint64(len(incoming.data)) {
+		incoming.data = append(incoming.data, m.Data...)
 	}
-	if uint64(len(a.data)) < a.meta.Size {
+	if uint64(len(incoming.data)) < incoming.meta.Size {
 		n.send(Message{
-			Kind: MsgSnapshotResponse, To: m.From, Index: a.meta.Index,
-			Offset: uint64(len(a.data)), SentAt: m.SentAt, ReadRound: m.ReadRound,
+			Kind: MsgSnapshotResponse, To: m.From, Index: incoming.meta.Index,
+			Offset: uint64(len(incoming.data)), SentAt: m.SentAt, ReadRound: m.ReadRound,
 		})
 		return
 	}
-	n.install(a)
-	n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: a.meta.Index, SentAt: m.SentAt, ReadRound: m.ReadRound})
+	n.install(incoming)
+	n.send(Message{Kind: MsgAppendResponse, To: m.From, Index: incoming.meta.Index, SentAt: m.SentAt, ReadRound: m.ReadRound})
 }
 
 // install replaces the log with a complete snapshot.
-func (n *Node) install(a *incomingSnapshot) {
+func (n *Node) install(incoming *incomingSnapshot) {
 	n.incoming = nil
-	n.installed = &Snapshot{SnapshotMeta: a.meta, Data: a.data}
-	n.snapshot = a.meta
-	n.log.reset(a.meta)
+	n.installed = &Snapshot{SnapshotMeta: incoming.meta, Data: incoming.data}
+	n.snapshot = incoming.meta
+	n.log.reset(incoming.meta)
 }
 
 func (n *Node) handleSnapshotResponse(m *Message) {
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -94,9 +94,10 @@
 	LogTerm uint64
 	Commit  uint64
 	Entries []Entry
-	// Reject is set in a response that denies a vote or an append. A rejected
-	// append also carries, in RejectHint, the last index at which the
-	// follower's log can still match the leader's.
+	// Reject is set in a response that denies a vote or an append, and in the
+	// response of a replica that is not empty to a bootstrap query. The response
+	// to a rejected append also carries, in RejectHint, the last index at which
+	// the follower's log can still match the leader's.
 	Reject     bool
 	RejectHint uint64
 	// SentAt is the leader's clock reading when it sent the request and
@@ -108,9 +109,12 @@
 	// grant it even while they are in contact with the old leader.
 	Transfer bool
 	Snapshot SnapshotMeta
-	Offset   uint64
-	Data     []byte
-	// Set if the sender has finished bootstrapping and is allowed to vote.
+	// Offset is the position of Data in the encoded snapshot. In a response, it
+	// is the number of bytes that the follower has received.
+	Offset uint64
+	Data   []byte
+	// Bootstrapped is set if the sender has finished bootstrapping and is allowed
+	// to vote.
 	Bootstrapped bool
 }
 
@@ -148,9 +152,9 @@
 	Messages  []Message
 	Committed []Entry
 	Reads     []ReadState
-	// Set if this replica has finished bootstrapping. This must be recorded on
-	// disk after Entries are written and before messages that need the sync
-	// are sent.
+	// Bootstrapped is set once, when this replica finishes bootstrapping. This
+	// must be recorded on disk after Entries are written and before messages that
+	// need the sync are sent.
 	Bootstrapped bool
 }
 
