--- a/proto/index/v1/index.twirp.go
+++ b/proto/index/v1/index.twirp.go
@@ -34,12 +34,12 @@
 // IndexService Interface
 // ======================
 
-// IndexService is served by the owner of chains.
+// IndexService is served by the VMs that own chains.
 type IndexService interface {
-	// Publish passes on cache events, dispatches and load.
+	// Publish delivers cache events, dispatches and load reports.
 	Publish(context.Context, *PublishRequest) (*PublishResponse, error)
 
-	// Lookup returns the targets that hold the start of a chain.
+	// Lookup returns the targets that hold a prefix of a chain.
 	Lookup(context.Context, *LookupRequest) (*LookupResponse, error)
 }
 
