--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -209,8 +209,8 @@
 	set.Gauge("targets", func() any { return len(c.registry.Current().Targets) })
 }
 
-// peerClient returns the HTTP client for calls to other VMs. If a connection stops
-// responding, the timeout of the call ends it.
+// peerClient returns the HTTP client for calls to other VMs. A call on a
+// connection that stops responding ends with the call's own timeout.
 func peerClient() *http.Client {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.AckTimeout(ackTimeout)}
 	return &http.Client{Transport: &http.Transport{
--- a/internal/edge/coreapi.go
+++ b/internal/edge/coreapi.go
@@ -49,7 +49,7 @@
 	return err
 }
 
-// Deregister deregisters a target.
+// Deregister removes a target from the registry.
 func (c *Core) Deregister(ctx context.Context, id string) error {
 	if _, ok := c.registry.Current().Targets[id]; !ok && c.isMember() {
 		// This replica may lag behind the leader, so the target may be
--- a/internal/edge/coremembers.go
+++ b/internal/edge/coremembers.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// join requests membership of the control log until this replica is a member
-// and knows the leader.
+// join requests membership of the control log whenever this replica is not a
+// member or knows no leader.
 func (c *Core) join(ctx context.Context) {
 	candidates := c.settings.seedPeerAddresses()
 	for attempt := 0; pause.For(ctx, joinInterval); attempt++ {
@@ -107,6 +107,7 @@
 		candidates = candidates[:min(len(candidates), maxCandidates)]
 		if response.Leader != "" && response.Leader != peer {
 			candidates = dedupe(append([]string{response.Leader}, candidates...))
+			// The next attempt has number 0 and asks the leader.
 			attempt = -1
 		}
 	}
--- a/internal/edge/corestores.go
+++ b/internal/edge/corestores.go
@@ -53,8 +53,8 @@
 	return list
 }
 
-// recordProbe records the result of a probe, and reports whether the store became
-// unreachable or reachable by it.
+// recordProbe records the result of a probe, and reports whether it made the store
+// unreachable, or reachable again.
 func (h *storeHealth) recordProbe(address string, reached bool) (changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/edge/coresync.go
+++ b/internal/edge/coresync.go
@@ -51,8 +51,9 @@
 }
 
 // serveSync handles the long poll of a front. Only the leader returns the state;
-// other members return the address of the leader. The state is read after a read
-// barrier, whose start the response states relative to received.
+// other members return the address of the leader. The document and the registry
+// are read after a read barrier. The response states the start of the barrier,
+// relative to received.
 func (c *Core) serveSync(ctx context.Context, received time.Duration, request fleetsync.Request) (fleetsync.Response, error) {
 	leader, leading := c.awaitLeadership(ctx)
 	if !leading {
--- a/internal/edge/coreweights.go
+++ b/internal/edge/coreweights.go
@@ -18,10 +18,11 @@
 	// weightsUpdateInterval is the time between two rounds of the rollout while
 	// an update is in progress.
 	weightsUpdateInterval = 50 * time.Millisecond
-	// weightsIdleInterval is that time while all engines run the required
-	// weights.
+	// weightsIdleInterval is the time between two rounds while no update is in
+	// progress.
 	weightsIdleInterval = 250 * time.Millisecond
-	// engineCallTimeout limits one call to an engine.
+	// engineCallTimeout limits an order to an engine and the fetch of its
+	// report, together.
 	engineCallTimeout = 600 * time.Millisecond
 	// leaseMargin is added to the lease of the order holder. It covers an order
 	// of the previous holder that was in flight when its lease expired.
@@ -121,13 +122,13 @@
 // It does so in the background, so that a slow engine does not delay the others.
 func (w *weightsUpdater) callEngine(ctx context.Context, a rollout.Action) {
 	w.mu.Lock()
-	planner, after := w.planner, w.accepted[a.Target.ID]
+	planner, acceptedOrders := w.planner, w.accepted[a.Target.ID]
 	w.mu.Unlock()
 	w.core.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 		defer cancel()
 		if a.Step == rollout.OrderLoad {
-			w.sendOrder(ctx, a, after)
+			w.sendOrder(ctx, a, acceptedOrders)
 		}
 		report, err := w.core.engines.Report(ctx, a.Target)
 		w.mu.Lock()
@@ -145,10 +146,10 @@
 }
 
 // sendOrder orders an engine to change its weights.
-func (w *weightsUpdater) sendOrder(ctx context.Context, a rollout.Action, after uint64) {
+func (w *weightsUpdater) sendOrder(ctx context.Context, a rollout.Action, acceptedOrders uint64) {
 	order := WeightsOrder{
 		Model: a.Target.Model, Version: a.Weights, Holder: w.core.settings.VM,
-		FencingToken: w.core.replica.Status().Term, AcceptedOrders: after,
+		FencingToken: w.core.replica.Status().Term, AcceptedOrders: acceptedOrders,
 	}
 	// The lease is checked immediately before the call: an order sent after
 	// the lease has expired could conflict with one of the next holder.
@@ -157,5 +158,5 @@
 	}
 	err := w.core.engines.SetWeights(ctx, a.Target, order)
 	w.core.logger.Info("weights order sent", zap.String("target", a.Target.ID), zap.String("model", order.Model),
-		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.FencingToken), zap.Uint64("after", after), zap.Error(err))
+		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.FencingToken), zap.Uint64("accepted_orders", acceptedOrders), zap.Error(err))
 }
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -91,7 +91,8 @@
 	peers        *frontPeers
 	staleWeights *staleWeightsFilter
 	// weightsPending is set while an engine is being updated or runs older
-	// weights than required.
+	// weights than required, and after a change of leader. While it is set,
+	// each response of the leader updates placement.
 	weightsPending bool
 	// unreachableStores are the addresses of stores that the leader cannot
 	// reach.
@@ -130,7 +131,7 @@
 	}
 	listener, err := listen(s.FrontAddress)
 	if err != nil {
-		return errors.Wrap(err, "listen for clients")
+		return errors.Wrap(err, "listen for callers")
 	}
 	ready, err := f.serveReadiness()
 	if err != nil {
@@ -230,9 +231,9 @@
 	f.stopping.Store(true)
 	f.logger.Info("front stops", zap.String("reason", "signal"))
 	time.Sleep(drainDelay)
-	deadline, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Guarantees.GracePeriod-graceMargin))
+	drainCtx, cancel := context.WithDeadline(context.Background(), stopStarted.Add(f.settings.Guarantees.GracePeriod-graceMargin))
 	defer cancel()
-	if err := server.Shutdown(deadline); err != nil {
+	if err := server.Shutdown(drainCtx); err != nil {
 		f.logger.Warn("grace period ended with requests in flight; closing their connections", zap.Error(err))
 		_ = server.Close()
 	}
--- a/internal/edge/frontpeers.go
+++ b/internal/edge/frontpeers.go
@@ -22,8 +22,8 @@
 	maxDatagramBytes = 2048
 )
 
-// frontPeers is the list of fronts that exchange hints about their
-// dispatches to engines.
+// frontPeers is the list of the other fronts with which this front exchanges
+// hints. A hint announces a dispatch to an engine.
 type frontPeers struct {
 	mu          sync.Mutex
 	addresses   []netip.AddrPort
--- a/internal/edge/frontsync.go
+++ b/internal/edge/frontsync.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// syncTimeout limits one call to the core: the time that the leader may
-	// hold it, and 700 ms.
+	// syncTimeout limits one call to the core. It is 700 ms longer than the
+	// leader may hold the call.
 	syncTimeout = fleetsync.MaxWait + 700*time.Millisecond
 	// idleConnectionFraction is the fraction of a target's connection limit
 	// that all fronts together keep as idle connections. The rest is left for
@@ -66,7 +66,8 @@
 	}
 }
 
-// poll makes one sync call. It also returns when the call was sent.
+// poll makes one sync call. It returns the response and the time at which the call
+// was sent.
 func (f *Front) poll(ctx context.Context, address string) (fleetsync.Response, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -96,15 +97,15 @@
 	return names
 }
 
-// applyResponse updates the state from a response of the leader. It ignores
-// versions and revisions older than those it has.
+// applyResponse updates the state from a response of the leader. It ignores a
+// document or registry that is no newer than the front's own.
 func (f *Front) applyResponse(sentAt time.Duration, response fleetsync.Response) {
 	next := *f.state.Load()
 	next.FrontCount = response.FrontCount
 	table, err := f.tableFor(next.Table, response)
 	if err != nil {
-		// The document that cannot be decoded is not active, so the state must
-		// not count as confirmed.
+		// A document that cannot be decoded does not become active, so the
+		// state must not count as confirmed.
 		f.logger.Error("decoding the document from the core failed", zap.Uint64("version", response.DocumentVersion), zap.Error(err))
 		return
 	}
@@ -113,8 +114,8 @@
 		f.updatePlacement(table, next.FrontCount)
 		f.logger.Info("document in force", zap.Uint64("version", table.Document.Version))
 	}
-	// The read barrier at the leader started after the call was sent. Adding the
-	// leader's delay to the send time gives a lower bound of its start.
+	// The leader started the read barrier ConfirmedAfterMS after it received the
+	// call. Adding that to the send time gives a lower bound of the start.
 	next.Confirmed = max(next.Confirmed, sentAt+time.Duration(response.ConfirmedAfterMS*float64(time.Millisecond)))
 	f.peers.update(response.Fronts, response.FrontsVersion)
 	if !slices.Equal(response.UnreachableStores, f.unreachableStores) {
@@ -202,7 +203,8 @@
 	f.pool.SetIdleLimits(limits)
 }
 
-// reachableStores returns the stores of the document except the unreachable ones.
+// reachableStores returns the stores of the document except the unreachable ones
+// and those whose link bandwidth is not set.
 func (f *Front) reachableStores(table *gatewayconfig.Table) []placement.Store {
 	if table == nil {
 		return nil
@@ -236,7 +238,8 @@
 	candidates  []string
 	leader      string
 	position    int
-	// lastFailed is the address that failed last. next skips it once.
+	// lastFailed is the address that failed last. next skips it if there is
+	// another candidate.
 	lastFailed string
 }
 
--- a/internal/edge/net.go
+++ b/internal/edge/net.go
@@ -15,7 +15,7 @@
 )
 
 // ackTimeout is how long sent bytes may remain unacknowledged before the
-// connection is closed as unresponsive (TCP_USER_TIMEOUT). Clients wait for a
+// connection is closed as unresponsive (TCP_USER_TIMEOUT). Callers wait for a
 // response for at least two seconds.
 const ackTimeout = 3 * time.Second
 
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -50,7 +50,7 @@
 
 // Guarantees are the time and rate limits that a deployment guarantees.
 type Guarantees struct {
-	// GracePeriod is the grace period: the time from SIGTERM to SIGKILL.
+	// GracePeriod is the time from SIGTERM to SIGKILL.
 	GracePeriod time.Duration
 	// KeyRevocation is the time after which a withdrawn key must be rejected,
 	// also on VMs that are partitioned from the core.
--- a/internal/edge/staleness_test.go
+++ b/internal/edge/staleness_test.go
@@ -21,7 +21,7 @@
 // testStaleLimit is below the 8 s that a deployment guarantees for old weights.
 const testStaleLimit = 6500 * time.Millisecond
 
-// Guards against requests that start on weights replaced more than 8 s before:
+// Guards against requests that start on weights replaced more than 8 s earlier:
 // engines that restarted with old weights after a crash got requests at once.
 func TestEngineWithOldWeightsGetsNoRequestsAfterTheLimit(t *testing.T) {
 	s := newStaleWeightsFilter(testStaleLimit)
@@ -65,7 +65,7 @@
 
 // Guards against a fleet without any usable target after all processes were
 // killed: the leader is as new as the front, and gives its first orders after
-// 3.6 s.
+// 3.6 s, which is longer than unknownAgeLimit.
 func TestRestartedFrontWaitsForTheOrdersOfANewLeader(t *testing.T) {
 	s := newStaleWeightsFilter(testStaleLimit)
 	old := fleet.Target{ID: "a", Model: "m", Weights: 1}
--- a/internal/edge/system_test.go
+++ b/internal/edge/system_test.go
@@ -31,8 +31,8 @@
 // The tests in this file run all processes of a deployment in the test process,
 // each on its own loopback address.
 
-// headerCodec reads and writes plain headers without a protocol of their
-// own.
+// headerCodec is a proxy.Codec that maps each field of a request or response to
+// a plain header.
 type headerCodec struct{}
 
 func (headerCodec) DecodeRequest(h http.Header) (proxy.Request, error) {
@@ -62,7 +62,7 @@
 }
 func (unreachableEngines) SetWeights(context.Context, fleet.Target, WeightsOrder) error { return nil }
 
-// deployment is a core whose members have an address each. Fronts can be added.
+// deployment is a core and its fronts. Each process has its own address.
 type deployment struct {
 	t     *testing.T
 	port  int
@@ -98,13 +98,13 @@
 	return fullDiskFile{file, &c.diskFull}, err
 }
 
-// nextHost is the number of the last loopback address handed out in this test
+// lastHost is the number of the last loopback address handed out in this test
 // process.
-var nextHost = 10
+var lastHost = 10
 
 func nextHostAddress() string {
-	nextHost++
-	return fmt.Sprintf("127.77.%d.%d", nextHost/250, nextHost%250+1)
+	lastHost++
+	return fmt.Sprintf("127.77.%d.%d", lastHost/250, lastHost%250+1)
 }
 
 func freePort(t *testing.T) int {
@@ -367,8 +367,8 @@
 	}
 }
 
-// Guards against an invalid document that comes into force.
-func TestInvalidDocumentIsRefusedByEveryCore(t *testing.T) {
+// Guards against an invalid document that becomes active.
+func TestInvalidDocumentIsRejected(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, raw := range []string{"{", `{"Version":1,"Routes":[{"Name":"r"}]}`} {
 		if err := d.cores[0].core.PutDocument(context.Background(), []byte(raw)); !errors.Is(err, gatewayconfig.ErrInvalid) {
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -312,8 +312,8 @@
 // if the departures since that revision are no longer all kept.
 func (s *State) DeltaSince(revision uint64) Delta {
 	d := Delta{Weights: s.Weights, Revision: s.Revision}
-	forgotten := len(s.Departed) == maxDepartures && s.Departed[0].Revision > revision
-	d.Full = revision == 0 || forgotten
+	truncated := len(s.Departed) == maxDepartures && s.Departed[0].Revision > revision
+	d.Full = revision == 0 || truncated
 	for _, t := range s.Targets {
 		if d.Full || t.Revision > revision {
 			d.Targets = append(d.Targets, t)
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -107,7 +107,8 @@
 	}
 }
 
-// Guards against state that a snapshot does not contain.
+// Guards against a snapshot that omits departures or required weights: a replica
+// restored from it would register a departed target again.
 func TestSnapshotKeepsTheRegistry(t *testing.T) {
 	registry := NewRegistry()
 	announce(t, registry, newTarget("a", "10.0.0.1:80", 100))
--- a/internal/fleetsync/message.go
+++ b/internal/fleetsync/message.go
@@ -36,7 +36,7 @@
 	Region  string `json:"region"`
 	// FrontsVersion is the version of the front's list of peers.
 	FrontsVersion uint64 `json:"fronts,omitempty"`
-	// UnreachableStores are the addresses of the stores that the front holds to be
+	// UnreachableStores are the addresses of the stores that the front treats as
 	// unreachable.
 	UnreachableStores []string `json:"stores_lost,omitempty"`
 }
@@ -62,8 +62,8 @@
 	Fleet *fleet.Delta `json:"fleet,omitempty"`
 	// Shares are the front's shares of the workspace rates.
 	Shares map[string]ratelimit.ShareGrant `json:"shares,omitempty"`
-	// Fronts are the addresses of the fronts to which the front sends hints on its
-	// dispatches. They are set only if the front's list is not of version
+	// Fronts are the addresses of the fronts to which the front announces its
+	// dispatches. They are set only if the version of the front's list is not
 	// FrontsVersion.
 	Fronts        []string `json:"fronts,omitempty"`
 	FrontsVersion uint64   `json:"fronts_version,omitempty"`
