--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -31,8 +31,8 @@
 	maxWaiting = 2048
 	// throughputTimeConstant is the time constant of the throughput estimate.
 	throughputTimeConstant = 5 * time.Second
-	// minThroughputSample is the work that must be finished before the estimate
-	// is used to refuse requests.
+	// minThroughputSample is the work, in prefill tokens, that must be finished
+	// before the estimate is used to refuse requests.
 	minThroughputSample = 10000
 	// recheckInterval is how often a waiting request checks for capacity that
 	// no released slot has announced, such as that of a target that joined.
@@ -323,8 +323,8 @@
 	}
 }
 
-// dropIdleFlow deletes the flow of e if it is idle and its finish tag has been
-// reached.
+// dropIdleFlow deletes the flow of e if it is idle and the virtual time has
+// reached its finish tag.
 func (g *group) dropIdleFlow(e *entry) {
 	f := e.flow
 	if f.waiting == 0 && f.running == 0 && f.finishTag <= g.virtualTime {
@@ -332,8 +332,8 @@
 	}
 }
 
-// refuseEarly refuses a request if the queue is full or if the request cannot
-// start before its deadline. Otherwise it returns nil.
+// refuseEarly refuses a request if the queue is full or if the request is not
+// expected to start before its deadline. Otherwise it returns nil.
 func (g *group) refuseEarly(now time.Time, req serving.QueueRequest) *serving.Refusal {
 	if len(g.waiting) >= maxWaiting {
 		return newRefusal("queue_full", "too many requests wait for this group of targets", time.Second)
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -142,8 +142,8 @@
 	h.takeSlot()(0, 0)
 }
 
-// Guards against prompts that queue inside engines, and against a prefill limit
-// that is not released by the first token.
+// Guards against prompts that queue inside engines, and against a request that
+// still counts as prefilling after its first token.
 func TestPrefillLimitIsFreedByTheFirstToken(t *testing.T) {
 	h := newHarness(t, 10)
 	h.queue.Capacity = func(string, Usage) Limits { return Limits{InFlight: 10, Prefilling: 1} }
--- a/internal/fairqueue/throughput.go
+++ b/internal/fairqueue/throughput.go
@@ -22,9 +22,9 @@
 	t.totalWork += cost
 }
 
-// perSecond returns false until enough work has been finished. The decaying sum
-// approaches rate x time constant over time, so an estimate from a short period
-// is scaled up.
+// perSecond returns false until enough work has been finished over a long enough
+// period. The decaying sum approaches rate x time constant over time, so an
+// estimate from a short period is scaled up.
 func (t *throughput) perSecond(now time.Time) (float64, bool) {
 	t.decay(now)
 	age := now.Sub(t.firstAdd)
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -280,9 +280,9 @@
 	x.targets[ref.ID] = &incarnation{number: ref.Incarnation}
 }
 
-// Predict records that ref is about to hold chain and is believed to hold its
-// first held blocks already. The entries expire after the eviction age of the
-// engine unless an event confirms them.
+// Predict records that ref is about to hold chain; held is the number of leading
+// blocks that it is believed to hold already. The entries expire after the
+// eviction age of the engine unless an event confirms them.
 func (x *Index) Predict(ref target.Ref, chain []Hash, held int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -362,8 +362,8 @@
 	}
 }
 
-// sweepChunk is the number of table positions swept while holding the lock
-// once, which takes about 0.2 ms.
+// sweepChunk is the number of table positions swept each time the lock is taken.
+// The lock is then held for about 0.2 ms.
 const sweepChunk = 8192
 
 // RemoveExpired removes expired predictions and the entries of dead
--- a/internal/prefix/intents.go
+++ b/internal/prefix/intents.go
@@ -25,10 +25,11 @@
 // NewCoalescer returns a Coalescer without pending placements.
 func NewCoalescer() *Coalescer { return &Coalescer{pending: make(map[Hash]*placement)} }
 
-// Begin registers the placement of a request for chain, whose first held blocks
-// are held by some target. It returns nil for the first such request, and for
-// later ones a channel that is closed when the first request has been placed or
-// its placement has timed out. It also returns nil if all blocks are held.
+// Begin registers the placement of a request for chain; held is the number of
+// leading blocks that some target already holds. It returns nil for the first
+// such request, and for later ones a channel that is closed when the first
+// request has been placed or its placement has timed out. It also returns nil if
+// all blocks are held.
 func (c *Coalescer) Begin(chain []Hash, held int, now time.Time) <-chan struct{} {
 	if held >= len(chain) {
 		return nil
--- a/internal/prefix/owner.go
+++ b/internal/prefix/owner.go
@@ -56,25 +56,25 @@
 type EventPartitioner struct {
 	ref       target.Ref
 	stream    uint64
-	members   *VMSet
+	vms       *VMSet
 	sequences map[string]uint64
 }
 
 // NewEventPartitioner returns a partitioner. A stream number must never be
 // reused.
-func NewEventPartitioner(ref target.Ref, stream uint64, members *VMSet) *EventPartitioner {
-	return &EventPartitioner{ref: ref, stream: stream, members: members, sequences: make(map[string]uint64)}
+func NewEventPartitioner(ref target.Ref, stream uint64, vms *VMSet) *EventPartitioner {
+	return &EventPartitioner{ref: ref, stream: stream, vms: vms, sequences: make(map[string]uint64)}
 }
 
 // SnapshotBatches returns the batches that start the stream at every owner with
 // the current content of the cache.
 func (p *EventPartitioner) SnapshotBatches(content []Event) map[string]Batch {
-	batches := make(map[string]Batch, len(p.members.names))
-	for _, name := range p.members.names {
+	batches := make(map[string]Batch, len(p.vms.names))
+	for _, name := range p.vms.names {
 		batches[name] = Batch{Ref: p.ref, Stream: p.stream, Reset: true}
 	}
 	for _, e := range content {
-		owner := p.members.Owner(e.Root)
+		owner := p.vms.Owner(e.Root)
 		b := batches[owner]
 		b.Events = append(b.Events, e)
 		batches[owner] = b
@@ -86,7 +86,7 @@
 func (p *EventPartitioner) Partition(events []Event) map[string]Batch {
 	batches := make(map[string]Batch)
 	for _, e := range events {
-		owner := p.members.Owner(e.Root)
+		owner := p.vms.Owner(e.Root)
 		p.sequences[owner]++
 		e.Sequence = p.sequences[owner]
 		b := batches[owner]
@@ -100,8 +100,8 @@
 // GapBatches returns batches that report a gap to every owner, because the
 // owners of the missing events are unknown.
 func (p *EventPartitioner) GapBatches() map[string]Batch {
-	batches := make(map[string]Batch, len(p.members.names))
-	for _, name := range p.members.names {
+	batches := make(map[string]Batch, len(p.vms.names))
+	for _, name := range p.vms.names {
 		p.sequences[name]++
 		batches[name] = Batch{Ref: p.ref, Stream: p.stream, LastSequence: p.sequences[name]}
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -134,7 +134,7 @@
 
 // Guards against VMs computing a cold prefix twice because they ask at the same
 // time, and against waiting for a VM that has died.
-func TestIntents(t *testing.T) {
+func TestCoalescer(t *testing.T) {
 	coalescer, now, chain := NewCoalescer(), time.Unix(1000, 0), chainOf(1, 3)
 	if coalescer.Begin(chain, 1, now) != nil {
 		t.Error("first request has to wait")
@@ -293,8 +293,8 @@
 	b.ReportMetric(float64(stats.Bytes)/float64(stats.Blocks), "bytes/block")
 }
 
-// BenchmarkSweep removes the entries of a dead target. The sweep holds the
-// lock.
+// BenchmarkSweep measures the removal of the entries of a dead target, during
+// which the sweep holds the lock.
 func BenchmarkSweep(b *testing.B) {
 	x := benchIndex(75, 320000)
 	for n := uint64(2); b.Loop(); n++ {
--- a/internal/ratelimit/bound_test.go
+++ b/internal/ratelimit/bound_test.go
@@ -118,13 +118,13 @@
 }
 
 func (f *fleet) settle(i int, fraction float64) {
-	o := f.unsettled[i]
+	u := f.unsettled[i]
 	f.unsettled = append(f.unsettled[:i], f.unsettled[i+1:]...)
-	if f.locals[o.vm] != o.local {
+	if f.locals[u.vm] != u.local {
 		return // The VM restarted after the charge, so nothing is refunded.
 	}
-	o.admission.tokens = math.Floor(o.admission.charge * fraction)
-	o.local.Settle(f.now, "w", o.admission.at, o.admission.charge, o.admission.tokens)
+	u.admission.tokens = math.Floor(u.admission.charge * fraction)
+	u.local.Settle(f.now, "w", u.admission.at, u.admission.charge, u.admission.tokens)
 }
 
 func (f *fleet) lend(from, to int, want float64, lose bool) {
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -14,14 +14,14 @@
 import "time"
 
 const (
-	// GrantTTL is how long a VM may spend granted tokens, counted from its
-	// request.
+	// GrantTTL is how long a VM may spend granted tokens, counted from when it
+	// sent its report.
 	GrantTTL = 2 * time.Second
 	// clockDrift is the maximum relative drift assumed for the clock of a VM.
 	clockDrift = 0.01
-	// reclaimAfter is when the root stops counting granted tokens as
-	// outstanding. It exceeds GrantTTL because the root's clock may run fast
-	// and the VM's clock slow, each by clockDrift.
+	// reclaimAfter is how long the root counts granted tokens as outstanding.
+	// It exceeds GrantTTL because the root's clock may run fast and the VM's
+	// clock slow, each by clockDrift.
 	reclaimAfter = GrantTTL + time.Duration(2*clockDrift*float64(GrantTTL))
 )
 
@@ -39,27 +39,27 @@
 }
 
 // rootLimit returns the rate and capacity of the root bucket.
-func (p Limit) rootLimit() (rate, capacity float64) {
-	f := p.floorFraction()
-	return p.Rate * (1 - f), p.Burst * (1 - f)
+func (l Limit) rootLimit() (rate, capacity float64) {
+	f := l.floorFraction()
+	return l.Rate * (1 - f), l.Burst * (1 - f)
 }
 
 // floorLimit returns the rate and capacity of one slot's floor.
-func (p Limit) floorLimit() (rate, capacity float64) {
-	if p.Slots < 1 {
+func (l Limit) floorLimit() (rate, capacity float64) {
+	if l.Slots < 1 {
 		return 0, 0
 	}
-	f := p.floorFraction() / float64(p.Slots)
-	return p.Rate * f, p.Burst * f
+	f := l.floorFraction() / float64(l.Slots)
+	return l.Rate * f, l.Burst * f
 }
 
 // floorFraction is zero without slots, because each floor needs an exclusive
 // holder.
-func (p Limit) floorFraction() float64 {
-	if p.Slots < 1 {
+func (l Limit) floorFraction() float64 {
+	if l.Slots < 1 {
 		return 0
 	}
-	return p.FloorFraction
+	return l.FloorFraction
 }
 
 // Holder identifies one incarnation of a VM.
@@ -88,8 +88,8 @@
 // ReportItem is the part of a report about one workspace.
 type ReportItem struct {
 	Workspace string
-	// Outstanding is what the VM may still spend of earlier grants, plus what
-	// it has lent and has not yet expired.
+	// Outstanding is what the VM may still spend of earlier grants, plus the
+	// tokens that it has lent from them and that have not yet expired.
 	Outstanding float64
 	// ReturnedTokens is the unspent part of earlier grants that the VM returns.
 	ReturnedTokens float64
@@ -100,13 +100,14 @@
 	// Prefetch is how many more tokens the VM would like to hold for future
 	// requests.
 	Prefetch float64
-	// Refund is what settled requests were charged and did not use.
+	// Refund is the number of tokens that settled requests were charged but did
+	// not use.
 	Refund float64
 	// RefundAge is the age of the oldest admission in Refund.
 	RefundAge time.Duration
 }
 
-// Grant answers one item of a report.
+// Grant is the root's response to one item of a report.
 type Grant struct {
 	Workspace string
 	// Tokens are added to those that the VM holds.
--- a/internal/ratelimit/local.go
+++ b/internal/ratelimit/local.go
@@ -217,7 +217,7 @@
 	return tokens, GrantTTL
 }
 
-// Borrow adds tokens that a zone peer lent in answer to a request sent at
+// Borrow adds tokens that a zone peer lent in response to a request sent at
 // sentAt.
 func (l *LocalLimiter) Borrow(now, sentAt time.Time, workspace string, tokens float64, ttl time.Duration) {
 	l.mu.Lock()
--- a/internal/ratelimit/root.go
+++ b/internal/ratelimit/root.go
@@ -83,19 +83,19 @@
 	}
 	r.lastSequence[report.Holder] = report.Sequence
 	if report.Uptime > reclaimAfter {
-		// A younger process may have had a predecessor whose lent tokens are
-		// still valid.
+		// The lent tokens of an earlier process in the same slot have expired by
+		// then.
 		r.reportedSlots[report.Slot] = true
 	}
 	r.dropUnreported(now, report)
 	grants := make([]Grant, 0, len(report.Items))
 	for _, item := range report.Items {
-		p, ok := limitOf(item.Workspace)
+		limit, ok := limitOf(item.Workspace)
 		if !ok {
 			continue
 		}
-		b := r.bucket(now, item.Workspace, p)
-		b.advance(now, r.recovering(now, p.Slots))
+		b := r.bucket(now, item.Workspace, limit)
+		b.advance(now, r.recovering(now, limit.Slots))
 		if tokens := b.handleItem(now, report.Holder, item); tokens > 0 {
 			grants = append(grants, Grant{Workspace: item.Workspace, Tokens: tokens})
 		}
@@ -134,8 +134,8 @@
 	}
 }
 
-func (r *RootAllocator) bucket(now time.Time, workspace string, p Limit) *rootBucket {
-	rate, capacity := p.rootLimit()
+func (r *RootAllocator) bucket(now time.Time, workspace string, limit Limit) *rootBucket {
+	rate, capacity := limit.rootLimit()
 	b, ok := r.buckets[workspace]
 	if !ok {
 		b = &rootBucket{rate: rate, capacity: capacity, lastRefill: now, holdings: make(map[Holder]holding)}
--- a/internal/ratelimit/shareallocator.go
+++ b/internal/ratelimit/shareallocator.go
@@ -120,8 +120,8 @@
 	return grants
 }
 
-// sumOthers returns the total spending and demand of all other VMs. A VM counts
-// as having admitted all of its demand since its last report.
+// sumOthers returns the total spending and demand of all other VMs. Each of them
+// counts as having admitted all of its demand since its last report.
 func (d *ShareAllocator) sumOthers(now time.Duration, h *vmShares, workspace string) ShareGrant {
 	var g ShareGrant
 	for _, other := range d.vms {
--- a/internal/ratelimit/shares.go
+++ b/internal/ratelimit/shares.go
@@ -40,8 +40,8 @@
 	// warmupTime is how long after the start of an allocator the demand that VMs
 	// report counts as incomplete.
 	warmupTime = 2 * time.Second
-	// warmupGrowthFactor limits the demand assumed during the warm-up, as a
-	// multiple of the rate before it.
+	// warmupGrowthFactor limits the spending of other VMs assumed during the
+	// warm-up, as a multiple of the spending rate under the previous leader.
 	warmupGrowthFactor = 2
 	// unknownSpendingFraction is the fraction of a window's limit that all VMs
 	// together may admit while their total spending is unknown.
@@ -64,7 +64,7 @@
 	// minRetryWait is the shortest time after which a retry is useful.
 	minRetryWait = 20 * time.Millisecond
 	// windowSlots is the number of slots in which the spending of a window is
-	// counted.
+	// counted, including the slot that is still being filled.
 	windowSlots = 16
 )
 
--- a/internal/ratelimit/shares_test.go
+++ b/internal/ratelimit/shares_test.go
@@ -44,8 +44,8 @@
 var testOvershoot = Overshoot{Window: 8 * time.Second, Fraction: 0.1, Tokens: 72_000}
 
 // shareSeeds returns the first forty seeds and those that have failed: 58, 144,
-// 148, 220, 231, 265, 340 and 395 exceeded the limit when a burst began at
-// once, or when a VM was lost between two reports.
+// 148, 220, 231, 265, 340 and 395 exceeded the limit when a burst began
+// abruptly, or when a VM was lost between two reports.
 func shareSeeds() []uint64 {
 	seeds := []uint64{58, 144, 148, 220, 231, 265, 340, 395}
 	for seed := range uint64(40) {
@@ -184,17 +184,17 @@
 // startupFraction.
 func TestNewLeaderKeepsFractionsInUse(t *testing.T) {
 	now := time.Duration(0)
-	d := NewShareAllocator(now, testOvershoot.Window, nil)
+	allocator := NewShareAllocator(now, testOvershoot.Window, nil)
 	held := map[string]float64{"a": 0.5, "b": 0.3}
 	for step := range 100 {
 		now = time.Duration(step) * testStep
-		got := d.Report(now, "a", 1, map[string]ShareReport{"w": {Held: held["a"], Demand: 1}})
+		got := allocator.Report(now, "a", 1, map[string]ShareReport{"w": {Held: held["a"], Demand: 1}})
 		held["a"] = got["w"].Fraction
-		got = d.Report(now, "c", 1, map[string]ShareReport{"w": {Held: held["c"], Demand: 9}})
+		got = allocator.Report(now, "c", 1, map[string]ShareReport{"w": {Held: held["c"], Demand: 9}})
 		held["c"] = got["w"].Fraction
 		// b sends its first report late, but within its lease.
 		if step == 60 {
-			got = d.Report(now, "b", 1, map[string]ShareReport{"w": {Held: held["b"], Demand: 1}})
+			got = allocator.Report(now, "b", 1, map[string]ShareReport{"w": {Held: held["b"], Demand: 1}})
 			held["b"] = got["w"].Fraction
 		}
 		if sum := held["a"] + held["b"] + held["c"]; sum > 1+startupFraction {
@@ -249,7 +249,8 @@
 // spending was recorded right before.
 func (f *shareFleet) restartAll(down time.Duration) { f.restartWith(f.allocator.Totals(f.now), down) }
 
-// restartWith does the same with the given record of the spending.
+// restartWith is like restartAll, but the new leader reads the given record of
+// the spending.
 func (f *shareFleet) restartWith(record map[string]Spending, down time.Duration) {
 	f.now += down
 	f.allocator = NewShareAllocator(f.now, testOvershoot.Window, record)
--- a/internal/ratelimit/wait_test.go
+++ b/internal/ratelimit/wait_test.go
@@ -31,7 +31,8 @@
 }
 
 // Guards against a Retry-After that ignores other VMs: a VM that had spent
-// nothing itself answered 21 ms although the other VMs had spent the window.
+// nothing itself stated a wait of 21 ms although the other VMs had spent the
+// window.
 func TestWaitCountsWhatOthersHaveSpent(t *testing.T) {
 	s := NewShareLimiter(testOvershoot)
 	limit := (testRate*testOvershoot.Window.Seconds()+testBurst)*(1+testOvershoot.Fraction) + testOvershoot.Tokens
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,10 +6,10 @@
 import "sync"
 
 const (
-	// refillPerFinished is what each finished request adds to a budget, and so
+	// refillPerSuccess is what each successful request adds to a budget, and so
 	// the share of extra attempts in steady state. The requirement is under
 	// 10%.
-	refillPerFinished = 0.08
+	refillPerSuccess = 0.08
 	// initialBudget allows a VM that has just started to resume the streams of
 	// one engine.
 	initialBudget = 10
@@ -21,8 +21,8 @@
 type budgetKey struct{ workspace, group string }
 
 // Budgets limits extra attempts per workspace and target group. It implements
-// serving.RetryPolicy and is safe for concurrent use. Only finished requests
-// refill a budget, so in a full outage it is used up and stays empty.
+// serving.RetryPolicy and is safe for concurrent use. Only successful
+// requests refill a budget, so in a full outage it is used up and stays empty.
 type Budgets struct {
 	mu        sync.Mutex
 	remaining map[budgetKey]float64
@@ -49,7 +49,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := budgetKey{workspace, group}
-	b.remaining[key] = min(b.remainingOf(key)+refillPerFinished, maxBudget)
+	b.remaining[key] = min(b.remainingOf(key)+refillPerSuccess, maxBudget)
 }
 
 func (b *Budgets) remainingOf(key budgetKey) float64 {
--- a/internal/retry/health.go
+++ b/internal/retry/health.go
@@ -23,8 +23,8 @@
 	// initialOpenTime and maxOpenTime limit how long a breaker stays open.
 	initialOpenTime = time.Second
 	maxOpenTime     = 30 * time.Second
-	// slowStartTime is how long a recovered target gets less work, so that its
-	// empty cache is not overloaded.
+	// slowStartTime is how long a recovered target gets less work, so that it is
+	// not overloaded while its cache is empty.
 	slowStartTime = 10 * time.Second
 	// slowStartPenalty is added to the expected time to first token at the
 	// beginning of the slow start. It decreases to zero over slowStartTime.
@@ -256,7 +256,7 @@
 	case errors.Is(err, serving.ErrCallerDisconnected), errors.Is(err, context.DeadlineExceeded):
 		return outcomeNeutral
 	case errors.As(err, &status) && status.Status < 500:
-		// The target works: it refuses this request, or new requests for now.
+		// The target works: it rejects this request, or new requests for now.
 		return outcomeNeutral
 	}
 	return outcomeFailure
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -49,8 +49,8 @@
 	h.End(t, serving.AttemptResult{Err: err, FirstToken: firstToken})
 }
 
-// Guards against targets that get requests while they fail, that are never used
-// again, or that are overloaded when they recover.
+// Guards against sending requests to a failing target, never using it again
+// after it recovers, and overloading it when it recovers.
 func TestBreaker(t *testing.T) {
 	clock := &testClock{now: time.Unix(1, 0)}
 	h := NewHealth(clock.time)
@@ -136,8 +136,8 @@
 	}
 }
 
-// BenchmarkPenalty measures the queries that routing makes for every target of
-// a view. With 600 targets a view is rebuilt every 20 ms.
+// BenchmarkPenalty measures the queries that routing makes for all targets of a
+// view, here 600. A view is rebuilt every 20 ms.
 func BenchmarkPenalty(b *testing.B) {
 	const targets = 600
 	h := NewHealth(time.Now)
--- a/internal/routing/kv.go
+++ b/internal/routing/kv.go
@@ -40,6 +40,7 @@
 }
 
 // findStore finds the KV store that holds the most leading blocks of the chain.
+// It finds none if importing a block is not faster than computing it.
 func (p *Picker) findStore(q *query, holdings []prefix.Holding) {
 	if q.blockImport >= q.blockPrefill {
 		return
@@ -58,9 +59,9 @@
 	}
 }
 
-// exportToStore copies blocks to a KV store when they are reused, because a
-// second use shows that the prefix is shared. Blocks that are faster to compute
-// than to import are not exported.
+// exportToStore requests a copy of blocks to a KV store when they are reused,
+// because a second use shows that the prefix is shared. Blocks that are faster
+// to compute than to import are not exported.
 func (p *Picker) exportToStore(q *query, c *choice, scope prefix.ScopeDigest) {
 	if p.OnExport == nil || c.crossRegion || q.blockImport >= q.blockPrefill || len(q.group.stores) == 0 || c.heldBlocks <= q.storeBlocks || !c.target.Capabilities.KV {
 		return
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -7,13 +7,15 @@
 )
 
 const (
-	// maxRecentDispatches limits the dispatches to one target that are kept
-	// until the next load report. Older dispatches are included in the report.
+	// maxRecentDispatches limits the dispatches to one target that are kept. It
+	// covers those between two load reports; older ones are included in the
+	// report.
 	maxRecentDispatches = 32
 	// defaultHoldTime is the assumed time that a request occupies a batch slot
 	// until durations have been observed.
 	defaultHoldTime = 2 * time.Second
-	holdTimeWeight  = 1.0 / 32
+	// holdTimeWeight is the weight of a new duration in the moving average.
+	holdTimeWeight = 1.0 / 32
 )
 
 // instant is the time since the picker's epoch. Comparing durations is much
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -80,14 +80,14 @@
 	Failed bool
 }
 
-// AddPeerDispatch adds a request dispatched by another VM to the load estimate
-// of the target. The index records separately which blocks the target will
-// hold.
-func (p *Picker) AddPeerDispatch(ref target.Ref, work time.Duration) {
+// AddPeerDispatch adds a request dispatched by another VM, with the given
+// prefill time, to the load estimate of the target. The index records separately
+// which blocks the target will hold.
+func (p *Picker) AddPeerDispatch(ref target.Ref, prefill time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.loads[ref.ID]; ok && l.ref == ref {
-		l.addOther(p.Clock().Sub(p.epoch), work)
+		l.addOther(p.Clock().Sub(p.epoch), prefill)
 	}
 }
 
@@ -170,6 +170,9 @@
 	blockPrefill, tailPrefill time.Duration
 	// blockImport is the transfer time of one block from a KV store.
 	blockImport time.Duration
+	// store is the KV store that holds the most leading blocks of the chain,
+	// storeBlocks is their number. store is nil if no store holds any
+	// or if importing a block is not faster than computing it.
 	storeBlocks int
 	store       *candidate
 	holdTime    time.Duration
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -306,7 +306,7 @@
 
 // Guards against ignoring the owner's response, and against failing when the
 // owner does not respond.
-func TestUsesOwnerAnswer(t *testing.T) {
+func TestUsesOwnerResponse(t *testing.T) {
 	f := newFixture(t)
 	f.announceEngines(4)
 	chain := chainOf(1, 10)
@@ -316,7 +316,7 @@
 	}
 	f.OwnerLookup = fakeOwner{}
 	if pick := f.mustPick(chain); pick.Target.ID != "e3" {
-		t.Error("did not use this VM's own index when the owner did not answer")
+		t.Error("did not use this VM's own index when the owner did not respond")
 	}
 }
 
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -33,7 +33,7 @@
 
 // Forward runs one call of a plain service. If the response breaks off after
 // its header was sent, the refusal has Run set to Ran and the sink's Begin has
-// been called. The adapter must then show the caller a broken connection.
+// been called. The HTTP adapter must then show the caller a broken connection.
 func (s *Service) Forward(ctx context.Context, call *Call, req ServiceRequest, sink ServiceSink) Outcome {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
@@ -105,7 +105,8 @@
 }
 
 // pick chooses a target that has not failed this call yet. If there is none and
-// attempts remain, it also accepts targets that failed.
+// attempts remain, it also accepts targets that failed, as requestRunner.pick
+// does.
 func (f *forwarder) pick(ctx context.Context) (*Pick, *Refusal) {
 	req := PickRequest{Call: f.call, Attempt: f.attempts, Exclude: f.failed}
 	pick, refusal := f.service.Picker.Pick(ctx, req)
--- a/internal/serving/hedge.go
+++ b/internal/serving/hedge.go
@@ -52,7 +52,7 @@
 				running = append(running, f.launch(ctx, second, results))
 			}
 		case finished := <-results:
-			running = slices.DeleteFunc(running, func(t *hedgeAttempt) bool { return t == finished })
+			running = slices.DeleteFunc(running, func(a *hedgeAttempt) bool { return a == finished })
 			f.recordDispatch(finished.err)
 			if finished.err == nil {
 				f.cancelRemaining(running, results)
@@ -71,12 +71,12 @@
 func (f *forwarder) launch(ctx context.Context, pick *Pick, results chan<- *hedgeAttempt) *hedgeAttempt {
 	f.attempts++
 	ctx, cancel := context.WithCancel(ctx)
-	t := &hedgeAttempt{pick: cancellable(pick, cancel), cancel: cancel}
+	a := &hedgeAttempt{pick: cancellable(pick, cancel), cancel: cancel}
 	go func() {
-		t.resp, t.err = f.service.Services.Do(ctx, pick.Target, f.call, f.req)
-		results <- t
+		a.resp, a.err = f.service.Services.Do(ctx, pick.Target, f.call, f.req)
+		results <- a
 	}()
-	return t
+	return a
 }
 
 // cancellable returns a pick whose Done also cancels the context of the
@@ -109,8 +109,8 @@
 // the background. It reports them as ErrAbandoned, because a cancelled attempt
 // says nothing about the health of its target.
 func (f *forwarder) cancelRemaining(running []*hedgeAttempt, results <-chan *hedgeAttempt) {
-	for _, t := range running {
-		t.cancel()
+	for _, a := range running {
+		a.cancel()
 		f.dispatched = true
 		f.wastedTokens += f.call.Route.CostTokens
 	}
--- a/internal/serving/ports.go
+++ b/internal/serving/ports.go
@@ -83,7 +83,8 @@
 	Message string
 	// Run says whether the request ran.
 	Run RunState
-	// RetryAfter is when a resend makes sense, or zero if unknown.
+	// RetryAfter is how long the caller should wait before a resend, or zero if
+	// unknown.
 	RetryAfter time.Duration
 	// ContentType and Body are set if a target rejected the request as invalid
 	// and its response is passed through.
@@ -118,8 +119,8 @@
 	// PrefillTokens and DecodeTokens are the expected work.
 	PrefillTokens int
 	DecodeTokens  int
-	// Deadline is when the request must have been admitted. A request that
-	// cannot be admitted in time is refused early.
+	// Deadline is when the request must have been admitted. A request that is
+	// not expected to be admitted in time is refused at once.
 	Deadline time.Time
 }
 
--- a/internal/serving/refusal.go
+++ b/internal/serving/refusal.go
@@ -69,8 +69,8 @@
 	return &Refusal{Status: http.StatusBadGateway, Code: "target_failed", Message: "the target answered with an error", Run: state, RetryAfter: targetRetryAfter}
 }
 
-// isRequestError reports whether status blames the request itself, so that
-// another target would refuse it too.
+// isRequestError reports whether status means that the request itself is at
+// fault, so that another target would reject it too.
 func isRequestError(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusUnauthorized, http.StatusForbidden, http.StatusProxyAuthRequired:
--- a/internal/serving/run.go
+++ b/internal/serving/run.go
@@ -21,6 +21,8 @@
 	tracker      *stream.Tracker
 	promptTokens int
 
+	// failed lists the targets that failed this request, attempts counts the
+	// attempts made.
 	failed   []target.Ref
 	attempts int
 	// resumed is true if the current attempt started after tokens had been
