--- a/internal/edge/coreweights.go
+++ b/internal/edge/coreweights.go
@@ -158,5 +158,5 @@
 	}
 	err := w.core.engines.SetWeights(ctx, a.Target, order)
 	w.core.logger.Info("weights order sent", zap.String("target", a.Target.ID), zap.String("model", order.Model),
-		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.FencingToken), zap.Uint64("accepted_orders", acceptedOrders), zap.Error(err))
+		zap.Uint64("weights", order.Version), zap.Uint64("fence", order.FencingToken), zap.Uint64("after", acceptedOrders), zap.Error(err))
 }
