--- a/internal/apikeys/buckets.go
+++ b/internal/apikeys/buckets.go
@@ -18,8 +18,8 @@
 	return digests
 }
 
-// InBuckets returns the hashes of the withdrawn keys that start with one of the
-// given bytes, in no particular order.
+// InBuckets returns the hashes of withdrawn keys whose first byte is in first, in
+// no particular order.
 func (w *WithdrawnSet) InBuckets(first []byte) []Hash {
 	var selected [NumBuckets]bool
 	for _, b := range first {
--- a/internal/apikeys/withdrawn.go
+++ b/internal/apikeys/withdrawn.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Add adds keys to the set, cancels the contexts that watch them and returns the
-// keys that were not in the set before.
+// Add adds hashes to the set, cancels the contexts that watch their keys and
+// returns the hashes that were not in the set before.
 func (w *WithdrawnSet) Add(hashes ...Hash) []Hash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,7 +62,7 @@
 	return w.digest
 }
 
-// All returns the withdrawn keys in no particular order.
+// All returns the hashes of all withdrawn keys in no particular order.
 func (w *WithdrawnSet) All() []Hash {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
--- a/internal/idempotency/client.go
+++ b/internal/idempotency/client.go
@@ -17,10 +17,11 @@
 const (
 	// claimTimeout is the maximum time that a request waits for its claim.
 	claimTimeout = 5 * time.Second
-	// settleTimeout is how long the client retries in the background to record
+	// settleTimeout is how long Client retries in the background to record
 	// an outcome. It covers an election and a restart of a voter.
 	settleTimeout = time.Minute
-	// initialBackoff and maxBackoff limit the time between two attempts.
+	// initialBackoff and maxBackoff limit the time between two proposals of a
+	// command.
 	initialBackoff = 5 * time.Millisecond
 	maxBackoff     = time.Second
 )
@@ -120,6 +121,8 @@
 	}}}
 }
 
+// settle proposes a Complete or Release command until it is committed or refused.
+// If ctx ends first, it returns an error and continues in the background.
 func (c *Client) settle(ctx context.Context, command *claimsv1.Command) error {
 	body, err := proto.Marshal(command)
 	if err != nil {
@@ -141,7 +144,7 @@
 }
 
 // proposeUntilCommitted retries the proposal until the command is committed or
-// ctx ends. The retries are safe because Complete and Release commands are
+// ctx ends. It returns errRefused if a committed command had no effect. The retries are safe because Complete and Release commands are
 // idempotent.
 func (c *Client) proposeUntilCommitted(ctx context.Context, body []byte) error {
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
--- a/internal/idempotency/schedule_test.go
+++ b/internal/idempotency/schedule_test.go
@@ -175,10 +175,10 @@
 	body   []byte
 }
 
-func (a *responseSink) Begin(status int, _ http.Header) { a.status = status }
+func (r *responseSink) Begin(status int, _ http.Header) { r.status = status }
 
-func (a *responseSink) Write(p []byte) (int, error) {
-	a.body = append(a.body, p...)
+func (r *responseSink) Write(p []byte) (int, error) {
+	r.body = append(r.body, p...)
 	return len(p), nil
 }
 
--- a/internal/idempotency/statemachine.go
+++ b/internal/idempotency/statemachine.go
@@ -18,7 +18,7 @@
 
 // maxStoredBytes is the maximum total size of the response bodies that a voter
 // keeps. Beyond it the oldest bodies are evicted, and resends of their requests
-// get only status and hash. 64 MiB is a quarter of the memory that the design
+// get only the status and the content type. 64 MiB is a quarter of the memory that the design
 // allows a node for control data.
 const maxStoredBytes = 64 << 20
 
--- a/internal/idempotency/statemachine_test.go
+++ b/internal/idempotency/statemachine_test.go
@@ -15,9 +15,9 @@
 	return serving.Claim{Workspace: "yards", Key: key, BodyHash: [32]byte{hash}, RequestID: request, Retention: time.Hour}
 }
 
-func applyClaim(t *testing.T, p *StateMachine, now time.Time, c serving.Claim) *claimsv1.Result {
+func applyClaim(t *testing.T, m *StateMachine, now time.Time, c serving.Claim) *claimsv1.Result {
 	t.Helper()
-	return decode(t, p.Apply(1, now, encodeClaim(c)))
+	return decode(t, m.Apply(1, now, encodeClaim(c)))
 }
 
 func decode(t *testing.T, data []byte) *claimsv1.Result {
@@ -29,11 +29,11 @@
 	return &r
 }
 
-func applyComplete(p *StateMachine, index uint64, c serving.Claim, body []byte) {
+func applyComplete(m *StateMachine, index uint64, c serving.Claim, body []byte) {
 	data, _ := proto.Marshal(&claimsv1.Command{Body: &claimsv1.Command_Complete{Complete: &claimsv1.Complete{
 		Record: recordName(c), RequestId: c.RequestID, Answer: &claimsv1.Answer{Status: 200, Body: body},
 	}}})
-	p.Apply(index, time.UnixMilli(0), data)
+	m.Apply(index, time.UnixMilli(0), data)
 }
 
 // Guards against records that are removed before they expire, never removed, or
@@ -79,11 +79,11 @@
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []*StateMachine{m, restored} {
-		oldest := applyClaim(t, part, now, claimBy("x", "a", 1))
-		newest := applyClaim(t, part, now, claimBy("x", "c", 1))
-		if !oldest.GetAnswer().GetTruncated() || len(newest.GetAnswer().GetBody()) != 40 || part.storedBytes != 80 {
-			t.Errorf("oldest answer %v, newest answer %v, %d bytes stored", oldest, newest, part.storedBytes)
+	for _, machine := range []*StateMachine{m, restored} {
+		oldest := applyClaim(t, machine, now, claimBy("x", "a", 1))
+		newest := applyClaim(t, machine, now, claimBy("x", "c", 1))
+		if !oldest.GetAnswer().GetTruncated() || len(newest.GetAnswer().GetBody()) != 40 || machine.storedBytes != 80 {
+			t.Errorf("oldest answer %v, newest answer %v, %d bytes stored", oldest, newest, machine.storedBytes)
 		}
 	}
 }
--- a/internal/orders/lease.go
+++ b/internal/orders/lease.go
@@ -16,7 +16,8 @@
 // Lease is the order lease as seen by its holder. It permits its holder to send
 // orders to targets.
 type Lease struct {
-	// FencingToken is the fencing token.
+	// FencingToken identifies the lease. A target that checks fencing tokens
+	// rejects orders with a lower one.
 	FencingToken uint64
 	// expires is when this VM must stop sending orders, by its own clock.
 	expires time.Time
@@ -25,11 +26,12 @@
 	exclusiveFrom time.Time
 }
 
-// NewLease returns a new lease. Sent is a time before the acquire command was
-// proposed, committed a time after its commit.
+// NewLease returns a new lease. The time sent is before the acquire command was
+// proposed, the time committed after its commit.
 func NewLease(fencingToken uint64, sent, committed time.Time) Lease {
 	// The former holder's last renewal was committed before this command and
-	// proposed even earlier. Either clock may drift by driftPermille.
+	// proposed even earlier. Either clock may drift by driftPermille. The
+	// factor is (1+d)/(1-d), rounded up, for a drift of d.
 	takeoverWait := LeaseDuration * (1000 + 2*driftPermille + 1) / 1000
 	return Lease{FencingToken: fencingToken, expires: sent.Add(LeaseDuration), exclusiveFrom: committed.Add(takeoverWait)}
 }
@@ -38,8 +40,8 @@
 // committed.
 func (l *Lease) Renew(sent time.Time) { l.expires = sent.Add(LeaseDuration) }
 
-// Expiry returns the expiry time of the lease. No order may be in flight after
-// it.
+// Expiry returns the expiry time of the lease. The holder must end its calls to
+// targets by then.
 func (l *Lease) Expiry() time.Time { return l.expires }
 
 // Holds reports whether the lease permits orders to targets that check fencing
--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -88,9 +88,11 @@
 	// available engines are live and neither leaving nor draining. They may be
 	// serving or loading.
 	available int
-	// serving engines are usable and hold the serving version.
+	// serving engines are usable, hold the serving version and have no open
+	// order.
 	serving int
-	// updated engines hold the goal version or are loading.
+	// updated engines hold the goal version, are loading or have an open order
+	// for the model.
 	updated int
 }
 
@@ -175,9 +177,11 @@
 }
 
 // canLoad reports whether an engine may be taken out of service to load. An
-// engine that does not hold the serving version always may. Of the others, at
-// most half of a zone load an ordered version: they serve again only when the
-// operator makes it the serving version, and then the other half follows.
+// engine that does not hold the serving version always may. Another engine may
+// only if at least one other engine of its zone keeps serving, and if at most
+// half of the zone then holds or loads the ordered version: that half serves again only when the operator
+// makes the ordered version the serving version, and then the other half
+// follows.
 func canLoad(e *target.Target, m config.Model, z *zoneCounts) bool {
 	if e.Version != m.ServingVersion {
 		return true
@@ -186,8 +190,8 @@
 }
 
 // orderID returns the ID of the next attempt of a load. It reports false if an
-// attempt is open or retryDelay has not passed since the last one. If two leaders
-// make the same plan, it has the same ID and results in one order.
+// attempt is open or retryDelay has not passed since the last one. Two leaders
+// that make the same plan use the same ID, so that only one order results.
 func (p *planner) orderID(e *target.Target, model, version string) (string, bool) {
 	for attempt := 1; ; attempt++ {
 		id := fmt.Sprintf("load/%s/%d/%s/%s/%d", e.ID, e.Incarnation, model, version, attempt)
--- a/internal/orders/statemachine.go
+++ b/internal/orders/statemachine.go
@@ -21,8 +21,8 @@
 
 // State is the order state after one command. Callers must not modify it.
 type State struct {
-	// VM and Incarnation identify the holder of the lease, FencingToken is its
-	// fencing token.
+	// VM and Incarnation identify the holder of the lease. FencingToken is the
+	// token under which it holds the lease.
 	VM           string
 	Incarnation  uint64
 	FencingToken uint64
@@ -43,7 +43,7 @@
 }
 
 // StateMachine is the replicated order state. It implements
-// control.StateMachine. State is safe for concurrent use.
+// control.StateMachine. Only its State method is safe for concurrent use.
 type StateMachine struct{ state atomic.Pointer[State] }
 
 // NewStateMachine returns a StateMachine without a lease holder and without
@@ -97,8 +97,9 @@
 	return false
 }
 
-// acquire grants the lease to the requesting VM under a new fencing token, or
-// renews it for its holder. Only the leader of the control log requests it. The
+// acquire grants the lease to the requesting VM under a new fencing token. If
+// the command already contains a fencing token, it renews the lease of that
+// holder instead. Only the leader of the control log requests the lease. The
 // new holder is responsible for waiting until the former holder has stopped.
 func (s *State) acquire(a *ordersv1.Acquire) bool {
 	holds := s.VM == a.GetVm() && s.Incarnation == a.GetIncarnation() && s.FencingToken == a.GetFence()
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -59,10 +59,15 @@
 	Weights uint64
 }
 
+// progress is the state of the update of one engine.
 type progress struct {
+	// updatingSince is when this planner first found the engine marked.
 	updatingSince time.Duration
-	lastOrder     time.Duration
-	lastCheck     time.Duration
+	// lastOrder is when the engine was last ordered to load or reported that it
+	// executes an order.
+	lastOrder time.Duration
+	// lastCall is the time of the last call to the engine.
+	lastCall time.Duration
 	// callInFlight is true while a call to the engine is in flight.
 	callInFlight bool
 	// reported is true once the engine has reported the number of orders that
@@ -88,12 +93,12 @@
 // New returns a planner without updates in progress.
 func New() *Planner { return &Planner{engines: make(map[string]*progress)} }
 
-// checkInterval is the time between two status reports requested from an engine
+// reportInterval is the time between two status reports requested from an engine
 // that is being updated. Each report has a cost, and a load takes about 0.4 s.
-const checkInterval = 150 * time.Millisecond
+const reportInterval = 150 * time.Millisecond
 
 // Plan returns the actions that are due at now. It returns no orders before
-// ordersFrom, the time at which the lease of the previous holder has expired.
+// ordersFrom, when the lease of the previous holder has expired.
 func (p *Planner) Plan(now, ordersFrom time.Duration, state *fleet.State) []Action {
 	p.ordersFrom = ordersFrom
 	p.dropMissing(state)
@@ -113,8 +118,8 @@
 	}
 }
 
-// groupByService returns the engines by service, those with the oldest weights
-// first.
+// groupByService returns the engines that are not draining by service, those
+// with the oldest weights first.
 func groupByService(state *fleet.State) map[string][]fleet.Target {
 	byService := make(map[string][]fleet.Target)
 	for _, t := range state.Targets {
@@ -128,8 +133,9 @@
 	return byService
 }
 
-// updatesBefore orders engines with the oldest weights first, so that none is
-// starved when versions follow each other quickly.
+// updatesBefore reports whether a is updated before b. Engines with the oldest
+// weights come first, so that none is starved when versions follow each other
+// quickly.
 func updatesBefore(a, b *fleet.Target) bool {
 	if a.Weights != b.Weights {
 		return a.Weights < b.Weights
@@ -139,7 +145,7 @@
 
 func (p *Planner) planService(now time.Duration, state *fleet.State, engines []fleet.Target) []Action {
 	var actions []Action
-	busy := 0
+	inProgress := 0
 	for _, t := range engines {
 		if !t.Updating {
 			continue
@@ -149,10 +155,10 @@
 			actions = append(actions, action)
 		}
 		if !p.isUnresponsive(now, t.ID) {
-			busy++
+			inProgress++
 		}
 	}
-	available := max(minConcurrentUpdates, len(engines)/concurrencyDivisor) - busy
+	available := max(minConcurrentUpdates, len(engines)/concurrencyDivisor) - inProgress
 	for _, t := range engines {
 		if available <= 0 {
 			break
@@ -174,6 +180,8 @@
 	return e != nil && e.unresponsiveSince > 0 && now-e.unresponsiveSince > unresponsiveTimeout
 }
 
+// advance returns the next action for an engine that is marked as updating. It
+// reports false if no action is due.
 func (p *Planner) advance(now time.Duration, t fleet.Target, wanted uint64) (Action, bool) {
 	e := p.engines[t.ID]
 	if e == nil {
@@ -191,10 +199,10 @@
 	case e.callInFlight:
 		return Action{}, false
 	case now >= p.ordersFrom && e.orderDue(now):
-		e.lastOrder, e.lastCheck, e.callInFlight = now, now, true
+		e.lastOrder, e.lastCall, e.callInFlight = now, now, true
 		return Action{Step: OrderLoad, Target: t, Weights: wanted}, true
-	case e.checkDue(now):
-		e.lastCheck, e.callInFlight = now, true
+	case e.reportDue(now):
+		e.lastCall, e.callInFlight = now, true
 		return Action{Step: RequestReport, Target: t, Weights: wanted}, true
 	}
 	return Action{}, false
@@ -205,17 +213,17 @@
 	return e.reported && e.unresponsiveSince == 0 && drained && (e.lastOrder == 0 || now-e.lastOrder >= retryDelay)
 }
 
-// checkDue reports whether a status report should be requested. One is needed
+// reportDue reports whether a status report should be requested. One is needed
 // before the first order, because the order contains the number of orders that
 // the engine has accepted.
-func (e *progress) checkDue(now time.Duration) bool {
+func (e *progress) reportDue(now time.Duration) bool {
 	switch {
 	case e.unresponsiveSince > 0:
-		return now-e.lastCheck >= retryDelay
+		return now-e.lastCall >= retryDelay
 	case !e.reported:
 		return true
 	}
-	return now-e.lastCheck >= checkInterval
+	return now-e.lastCall >= reportInterval
 }
 
 // EngineState is the state that an engine has reported.
--- a/internal/stream/tracker.go
+++ b/internal/stream/tracker.go
@@ -83,7 +83,9 @@
 	eventStarts    []eventStart
 	finished       int
 	usageDelivered bool
-	opaque         bool
+	// opaque is true once text does not hold the whole response, so that
+	// another engine cannot continue it.
+	opaque bool
 
 	// resumed, awaitingTokens and foreignEvents concern the current attempt.
 	resumed        bool
--- a/internal/stream/tracker_test.go
+++ b/internal/stream/tracker_test.go
@@ -69,7 +69,7 @@
 
 // Guards against resuming a response that its text does not fully describe. A
 // resume from text alone would lose the rest, such as tool calls.
-func TestOpaqueAnswersAreNotResumed(t *testing.T) {
+func TestOpaqueResponsesAreNotResumed(t *testing.T) {
 	tracker := NewTracker("r", 1)
 	tracker.BeginAttempt()
 	tracker.Commit(Event{RequestID: "r", Tokens: 1, Opaque: true})
--- a/internal/target/drain.go
+++ b/internal/target/drain.go
@@ -2,14 +2,14 @@
 
 import "sort"
 
-// Drain is an operator's decision whether a target gets new work. It applies to
+// Drain is an operator's decision on whether a target gets new work. It applies to
 // every incarnation of the target until the operator changes it.
 type Drain struct {
 	// ID identifies the target.
 	ID string
 	// Version orders the decisions about one target across all VMs.
 	Version uint64
-	// Drained is true if the target must not get new work.
+	// Drained is true if the target must not be given new work.
 	Drained bool
 }
 
--- a/internal/target/spread.go
+++ b/internal/target/spread.go
@@ -35,16 +35,16 @@
 // MergeHeartbeat merges a heartbeat that was relayed by another VM. It reports
 // whether the heartbeat was newer than the known state. receivedAt is when a VM
 // received it from the target itself.
-func (r *Registry) MergeHeartbeat(b Heartbeat, receivedAt time.Time) bool {
+func (r *Registry) MergeHeartbeat(h Heartbeat, receivedAt time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old, ok := r.targets[r.idByKey[b.Key]]
-	if !ok || b.Sequence <= old.Sequence {
+	old, ok := r.targets[r.idByKey[h.Key]]
+	if !ok || h.Sequence <= old.Sequence {
 		return false
 	}
 	updated := *old
-	updated.Sequence = b.Sequence
-	updated.Load = b.Load
+	updated.Sequence = h.Sequence
+	updated.Load = h.Load
 	updated.LastHeartbeat = laterOf(receivedAt, old.LastHeartbeat)
 	r.targets[old.ID] = &updated
 	return true
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -29,7 +29,8 @@
 	maxPendingTotals = 20000
 )
 
-// totalKey identifies one total. hours is the length of its period.
+// totalKey identifies one total. hour is the first hour of its period, counted
+// from the Unix epoch, and hours is the length of the period.
 type totalKey struct {
 	workspace string
 	model     string
@@ -58,7 +59,8 @@
 
 	mu      sync.Mutex
 	pending map[totalKey]*counts
-	// newestHour holds the last pending hour of each workspace and model.
+	// newestHour holds the last pending hour of each workspace and model. Its
+	// keys have no period.
 	newestHour map[totalKey]int64
 
 	// flushMu serializes Flush and guards the fields below.
@@ -127,7 +129,7 @@
 		if err != nil {
 			return fmt.Errorf("send usage batch %d: %w", l.sequence, err)
 		}
-		if string(response) != answerCounted {
+		if string(response) != responseCounted {
 			return fmt.Errorf("send usage batch %d: unexpected answer %q from the control log", l.sequence, response)
 		}
 		l.unacknowledgedBatch = nil
--- a/internal/usage/statemachine.go
+++ b/internal/usage/statemachine.go
@@ -10,10 +10,10 @@
 	usagev1 "github.com/cuminwing/cuminwing/proto/usage/v1"
 )
 
-// These are the responses of StateMachine to a command.
+// These are the responses of StateMachine to a batch or a malformed command.
 const (
-	answerCounted   = "counted"
-	answerMalformed = "malformed"
+	responseCounted   = "counted"
+	responseMalformed = "malformed"
 )
 
 // These are the retention periods of totals. With 1,900 workspaces that use two
@@ -28,6 +28,7 @@
 	senderRetention = 24 * time.Hour
 )
 
+// senderKey identifies an incarnation of a VM that sends batches.
 type senderKey struct {
 	vm          string
 	incarnation uint64
@@ -55,17 +56,17 @@
 func (m *StateMachine) Apply(_ uint64, now time.Time, body []byte) []byte {
 	var c usagev1.Command
 	if err := proto.Unmarshal(body, &c); err != nil {
-		return []byte(answerMalformed)
+		return []byte(responseMalformed)
 	}
 	m.compact(now)
 	switch k := c.GetKind().(type) {
 	case *usagev1.Command_Batch:
 		m.applyBatch(now, k.Batch)
-		return []byte(answerCounted)
+		return []byte(responseCounted)
 	case *usagev1.Command_Query:
 		return m.query(k.Query)
 	}
-	return []byte(answerMalformed)
+	return []byte(responseMalformed)
 }
 
 // applyBatch adds a batch unless this or a later batch of the same incarnation
