--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -92,8 +92,9 @@
 	// views caches data derived from members, by zone.
 	views map[string]*zoneView
 	// mergingSync is true while a sync message of another VM is merged. Its
-	// content is old and mostly known, so what concerns other zones is not
-	// queued for zone peers; VMs that lack it detect that from digests.
+	// content is old and mostly known, so updates about other zones are not
+	// queued for zone peers. VMs that lack such an update detect that from
+	// digests.
 	mergingSync bool
 
 	sequence   uint64
@@ -101,12 +102,12 @@
 	probe      probeState
 	relays     map[uint64]relay
 
-	digestNumber  uint64
-	nextProbe     time.Time
-	nextDigest    time.Time
-	nextReconnect time.Time
-	nextJoin      time.Time
-	started       time.Time
+	digestSequence uint64
+	nextProbe      time.Time
+	nextDigest     time.Time
+	nextReconnect  time.Time
+	nextJoin       time.Time
+	started        time.Time
 	// nextSync holds the earliest time of the next sync request, by address.
 	nextSync map[string]time.Time
 }
@@ -218,7 +219,7 @@
 }
 
 // BroadcastTarget queues a heartbeat that this VM received directly from a
-// target. Change is the result of merging it into the registry.
+// target. The argument change is the result of merging it into the registry.
 func (c *Core) BroadcastTarget(a target.Announcement, change target.Change, now time.Time) {
 	c.queueTarget(a, change, now)
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -21,10 +21,10 @@
 		change := c.registry.MergeAnnouncement(t.Announcement, receivedAt)
 		c.queueTarget(t.Announcement, change, receivedAt)
 	}
-	for _, b := range m.Heartbeats {
-		receivedAt := now.Add(-b.Age - hopAllowance)
-		if c.registry.MergeHeartbeat(b.Heartbeat, receivedAt) {
-			c.queueHeartbeat(b.Heartbeat, receivedAt)
+	for _, h := range m.Heartbeats {
+		receivedAt := now.Add(-h.Age - hopAllowance)
+		if c.registry.MergeHeartbeat(h.Heartbeat, receivedAt) {
+			c.queueHeartbeat(h.Heartbeat, receivedAt)
 		}
 	}
 	for i := range m.Digests {
@@ -166,7 +166,9 @@
 	}
 }
 
-// ackFor returns the ack of a probe.
+// ackFor returns the ack of a probe. If this VM does not consider the sender
+// alive, the ack says so, so that the sender can refute it. An ack to another zone
+// also carries a digest.
 func (c *Core) ackFor(now time.Time, m *Message) Message {
 	ack := Message{Kind: KindAck, Sequence: m.Sequence}
 	e, known := c.members[m.From]
@@ -180,8 +182,9 @@
 }
 
 // requestSync requests the state of zones from an address, at most once per
-// syncInterval for each address.
-func (c *Core) requestSync(now time.Time, to string, zones []string, pullBack bool) {
+// syncInterval for each address. With syncBack, the receiver also requests the
+// state of this VM.
+func (c *Core) requestSync(now time.Time, to string, zones []string, syncBack bool) {
 	if now.Before(c.nextSync[to]) {
 		return
 	}
@@ -189,7 +192,7 @@
 	c.send(to, Message{
 		Kind:     KindSyncRequest,
 		Zones:    zones,
-		SyncBack: pullBack,
+		SyncBack: syncBack,
 		Updates:  []Update{{Member: c.self}},
 	})
 }
@@ -282,11 +285,11 @@
 	return true
 }
 
-func (p *packetBuilder) addHeartbeat(b HeartbeatUpdate) bool {
+func (p *packetBuilder) addHeartbeat(h HeartbeatUpdate) bool {
 	if !p.reserve(heartbeatBytes) {
 		return false
 	}
-	p.message.Heartbeats = append(p.message.Heartbeats, b)
+	p.message.Heartbeats = append(p.message.Heartbeats, h)
 	return true
 }
 
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -44,8 +44,8 @@
 	return bits.Len(uint(len(c.liveInZone(c.self.Zone)))) + 1
 }
 
-// remoteTransmits returns how often an update from another zone is sent if it
-// reports a live member or a new target. VMs that miss it detect that from
+// remoteTransmits returns how often an update from another zone is sent to zone
+// peers if it reports a live member or a new target. VMs that miss it detect that from
 // digests. Such updates are most of the traffic when the whole fleet starts.
 func (c *Core) remoteTransmits(joined bool) int {
 	if joined {
@@ -54,8 +54,8 @@
 	return 1
 }
 
-func (c *Core) crossZoneTransmitsFor(own bool) int {
-	if own {
+func (c *Core) crossZoneTransmitsFor(fromOwnZone bool) int {
+	if fromOwnZone {
 		return crossZoneTransmitLimit
 	}
 	return 0
@@ -82,6 +82,8 @@
 	c.broadcasts[item.key] = item
 }
 
+// queueTarget queues an announcement. A heartbeat that changed only the sequence
+// and the load stays in its zone, because other zones get digests instead.
 func (c *Core) queueTarget(a target.Announcement, change target.Change, receivedAt time.Time) {
 	switch change {
 	case target.Stale:
@@ -108,16 +110,16 @@
 	}
 }
 
-func (c *Core) queueHeartbeat(b target.Heartbeat, receivedAt time.Time) {
-	key := "b/" + strconv.FormatUint(b.Key, 16)
-	c.broadcasts[key] = &broadcast{key: key, zoneTransmits: 1, receivedAt: receivedAt, heartbeat: &b}
+func (c *Core) queueHeartbeat(h target.Heartbeat, receivedAt time.Time) {
+	key := "b/" + strconv.FormatUint(h.Key, 16)
+	c.broadcasts[key] = &broadcast{key: key, zoneTransmits: 1, receivedAt: receivedAt, heartbeat: &h}
 }
 
-func (c *Core) queueDrain(d target.Drain, own bool) {
+func (c *Core) queueDrain(d target.Drain, fromOwnZone bool) {
 	c.broadcasts["d/"+d.ID] = &broadcast{
 		key:                "d/" + d.ID,
 		zoneTransmits:      c.urgentTransmits(),
-		crossZoneTransmits: c.crossZoneTransmitsFor(own),
+		crossZoneTransmits: c.crossZoneTransmitsFor(fromOwnZone),
 		drain:              &d,
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -18,6 +18,9 @@
 	expires  time.Time
 }
 
+// tickProbe requests indirect probes if the probe in progress is not acked within
+// probeTimeout. Every probeInterval it marks the probed member as suspect if no ack
+// has arrived, and starts the next probe.
 func (c *Core) tickProbe(now time.Time) {
 	if c.self.Status == Left {
 		return
@@ -83,12 +86,12 @@
 		return
 	}
 	asked := 0
-	for _, relay := range c.shuffled(c.zonePeers()) {
-		if relay.VM == e.VM || asked == indirectProbes {
+	for _, peer := range c.shuffled(c.zonePeers()) {
+		if peer.VM == e.VM || asked == indirectProbes {
 			continue
 		}
 		asked++
-		c.send(relay.GossipAddress, Message{
+		c.send(peer.GossipAddress, Message{
 			Kind:     KindProbeRequest,
 			Sequence: c.probe.sequence,
 			Subject:  e.GossipAddress,
@@ -164,8 +167,8 @@
 }
 
 // syncWithJoinAddresses requests a sync from up to maxJoinRequests join
-// addresses that belong to no live member. With only one, VMs that start
-// together could form separate clusters.
+// addresses that belong to no live member. If it contacted only one, VMs that
+// start together could form separate clusters.
 func (c *Core) syncWithJoinAddresses(now time.Time) {
 	asked := 0
 	for _, i := range c.rand.Perm(len(c.join)) {
--- a/internal/membership/zones.go
+++ b/internal/membership/zones.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// zoneState is what this VM knows about another zone or its own as a whole.
+// zoneState is what this VM knows about a zone, its own included, from digests.
 type zoneState struct {
 	// lastDigest is when the newest digest was received.
 	lastDigest time.Time
@@ -16,8 +16,10 @@
 	sources map[string]digestSource
 }
 
+// digestSource identifies the newest digest of one VM and records whether the
+// local state matches it.
 type digestSource struct {
-	incarnation, number uint64
+	incarnation, sequence uint64
 	// mismatchSince is when the local state began to differ from the source's
 	// digests; zero if they match.
 	mismatchSince time.Time
@@ -28,6 +30,7 @@
 // would double the traffic.
 const forwardInterval = 300 * time.Millisecond
 
+// zone returns the state of a zone and creates it if there is none.
 func (c *Core) zone(name string) *zoneState {
 	z, ok := c.zones[name]
 	if !ok {
@@ -45,12 +48,12 @@
 
 // digest returns a new digest of this VM's zone.
 func (c *Core) digest(now time.Time) Digest {
-	c.digestNumber++
+	c.digestSequence++
 	return Digest{
 		Zone:        c.self.Zone,
 		VM:          c.self.VM,
 		Incarnation: c.self.Incarnation,
-		Sequence:    c.digestNumber,
+		Sequence:    c.digestSequence,
 		MembersHash: c.view(c.self.Zone).hash,
 		Targets:     c.registry.Summarize(c.self.Zone, now),
 	}
@@ -69,7 +72,7 @@
 	d := c.digest(now)
 	c.queueDigest(d, now.Add(-d.Targets.Age))
 	probe := Message{Kind: KindProbe, Digests: []Digest{d}}
-	if c.digestNumber%digestsPerZoneList == 0 {
+	if c.digestSequence%digestsPerZoneList == 0 {
 		probe.Zones = c.knownZones()
 	}
 	c.forEachRemoteDelegate(func(e *entry) { c.send(e.GossipAddress, probe) })
@@ -147,13 +150,15 @@
 	}
 }
 
+// mergeDigest applies a digest unless a newer one of the same VM is known, and
+// forwards it to the zone peers at most once per forwardInterval.
 func (c *Core) mergeDigest(now time.Time, from string, d Digest) {
 	if d.VM == c.self.VM {
 		return
 	}
 	z := c.zone(d.Zone)
 	last := z.sources[d.VM]
-	if d.Incarnation < last.incarnation || d.Incarnation == last.incarnation && d.Sequence <= last.number {
+	if d.Incarnation < last.incarnation || d.Incarnation == last.incarnation && d.Sequence <= last.sequence {
 		return
 	}
 	z.lastDigest = now
@@ -175,7 +180,7 @@
 // from the digests for longer than updates take to arrive.
 func (c *Core) compareDigest(now time.Time, from string, d *Digest, same bool) {
 	z := c.zone(d.Zone)
-	source := digestSource{incarnation: d.Incarnation, number: d.Sequence}
+	source := digestSource{incarnation: d.Incarnation, sequence: d.Sequence}
 	if !same {
 		source.mismatchSince = z.sources[d.VM].mismatchSince
 		if source.mismatchSince.IsZero() {
