--- a/internal/scenario/calls_test.go
+++ b/internal/scenario/calls_test.go
@@ -59,7 +59,7 @@
 	return c.startCall(v, "/orders", "order "+key, key, func(p *pendingCall) bool { return p.text.String() == "order "+key })
 }
 
-func (c *testCluster) startCall(v *vm, path, body, key string, isWhole func(*pendingCall) bool) *pendingCall {
+func (c *testCluster) startCall(v *vm, path, body, key string, isComplete func(*pendingCall) bool) *pendingCall {
 	p := &pendingCall{done: make(chan struct{}), result: make(map[string]string)}
 	url := "http://" + v.settings.CallerAddress + path
 	c.callers.Go(func() {
@@ -70,7 +70,7 @@
 		if err != nil {
 			p.result["failed"] = err.Error()
 		}
-		p.result["whole"] = fmt.Sprint(p.result["failed"] == "" && p.result["status"] == "200" && isWhole(p))
+		p.result["whole"] = fmt.Sprint(p.result["failed"] == "" && p.result["status"] == "200" && isComplete(p))
 	})
 	return p
 }
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -112,17 +112,17 @@
 // cmdFleet starts the VMs and applies the first configuration: fleet
 // ZONE=COUNT... [rate=N] [burst=N] [wait=MS].
 func cmdFleet(c *testCluster, args []string) {
-	set := parseOptions(args)
+	options := parseOptions(args)
 	slots := make(map[string]int)
 	for zone := range zoneRegions {
-		if count := c.parseInt(set[zone], 0); count > 0 {
+		if count := c.parseInt(options[zone], 0); count > 0 {
 			slots[zone] = count
 			for i := range count {
 				c.Check(c.addVM(zone, i))
 			}
 		}
 	}
-	rate := config.Rate{RateTokensPerSecond: float64(c.parseInt(set["rate"], 1e6)), BurstTokens: float64(c.parseInt(set["burst"], 1e6)), MaxWaitMS: c.parseInt(set["wait"], 10000)}
+	rate := config.Rate{RateTokensPerSecond: float64(c.parseInt(options["rate"], 1e6)), BurstTokens: float64(c.parseInt(options["burst"], 1e6)), MaxWaitMS: c.parseInt(options["wait"], 10000)}
 	c.document = baseDocument(slots, rate)
 	c.setVotersAndJoin()
 	for _, v := range c.vms {
@@ -228,7 +228,8 @@
 	return ""
 }
 
-// cmdRestart crashes VMs and starts them again: restart NAME.
+// cmdRestart crashes VMs and starts them again: restart NAME, where NAME is a
+// VM, a zone or "all".
 func cmdRestart(c *testCluster, args []string) {
 	cmdCrash(c, args)
 	for _, v := range c.matchVMs(c.resolveName(args[0])) {
@@ -251,6 +252,7 @@
 	c.network.cut(c.resolveName(args[0]), len(args) > 1 && args[1] == "silent")
 }
 
+// cmdHeal ends the partition of a VM, zone or region: heal NAME.
 func cmdHeal(c *testCluster, args []string) {
 	c.network.heal(c.resolveName(args[0]))
 }
@@ -258,9 +260,9 @@
 // cmdCall starts a completion call: call LABEL VM [tokens=N] [whole]. The call
 // streams unless "whole" is given.
 func cmdCall(c *testCluster, args []string) {
-	set := parseOptions(args[2:])
-	_, whole := set["whole"]
-	c.pendingCalls[args[0]] = c.startCompletion(args[0], c.runningVM(args[1]), c.parseInt(set["tokens"], 40), !whole)
+	options := parseOptions(args[2:])
+	_, whole := options["whole"]
+	c.pendingCalls[args[0]] = c.startCompletion(args[0], c.runningVM(args[1]), c.parseInt(options["tokens"], 40), !whole)
 }
 
 // cmdServes waits until VMs serve completions: serves VM.... A restarted VM may
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -11,6 +11,7 @@
 // site is the VM or target behind an address, with its zone and region.
 type site struct{ name, zone, region string }
 
+// in reports whether group is the site itself, its zone or its region.
 func (s site) in(group string) bool { return s.name == group || s.zone == group || s.region == group }
 
 // network simulates partitions: it separates VMs, targets, zones or regions from
@@ -47,8 +48,9 @@
 	return cut, silent
 }
 
-// cut partitions a group from the rest of the network. It closes the connections
-// across the partition or, with silent, blackholes them permanently.
+// cut partitions a VM, target, zone or region from the rest of the network. It
+// closes the connections across the partition or, with silent, blackholes them
+// permanently.
 func (n *network) cut(group string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -29,6 +29,7 @@
 	pollInterval = 20 * time.Millisecond
 )
 
+// Guards against the failure that the head of each script describes.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -247,6 +247,7 @@
 	return "w" + strconv.FormatUint((seed+uint64(i)*2654435761)%9973, 10) + " "
 }
 
+// eventWriter writes the events of one response stream.
 type eventWriter struct {
 	// promptTokens is the prompt length reported in the usage event.
 	promptTokens int
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -122,6 +122,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// writeErrorStatus applies the Status fault. It reports whether it has written a
+// response.
 func (f *faultInjector) writeErrorStatus(w http.ResponseWriter) bool {
 	status := f.active().Status
 	if status == 0 {
@@ -139,22 +141,22 @@
 	if start == 0 {
 		return 0
 	}
-	set := f.active()
-	return max(0, start-set.RepeatTokens) + set.SkipTokens
+	faults := f.active()
+	return max(0, start-faults.RepeatTokens) + faults.SkipTokens
 }
 
-// injectBeforeToken injects the faults due before a token. It reports false if
-// the stream must end.
+// injectBeforeToken injects the faults due before a token, after sent tokens of
+// this response. It reports false if the stream must end.
 func (f *faultInjector) injectBeforeToken(ctx context.Context, out *eventWriter, sent int) bool {
-	set := f.active()
-	if set.StallAfterTokens > 0 && sent >= set.StallAfterTokens {
+	faults := f.active()
+	if faults.StallAfterTokens > 0 && sent >= faults.StallAfterTokens {
 		<-ctx.Done()
 		return false
 	}
-	if set.CloseAfterTokens > 0 && sent >= set.CloseAfterTokens {
+	if faults.CloseAfterTokens > 0 && sent >= faults.CloseAfterTokens {
 		panic(http.ErrAbortHandler)
 	}
-	for range set.ForeignEvents {
+	for range faults.ForeignEvents {
 		other := *out
 		other.requestID = "another-request"
 		_ = other.token(sent, "wrong ")
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -79,6 +79,9 @@
 	}, cached, true
 }
 
+// prefill imports missing blocks if the request names a source, waits for the
+// time that the remaining tokens take and caches the chain. It returns the number
+// of tokens that needed no prefill, or false if the request ended first.
 func (k *kvEngine) prefill(r *http.Request, priority int, chain []prefix.Hash, tokens int) (int, bool) {
 	ctx := r.Context()
 	if !k.prefillSlot.acquire(ctx, priority) {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -10,7 +10,8 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// DefaultLoadTime is the default time that an order to load weights takes.
+// DefaultLoadTime is the time that an engine takes to load weights if
+// OrderOptions.LoadTime is zero.
 const DefaultLoadTime = 400 * time.Millisecond
 
 // OrderOptions configures how an engine handles orders to load weights.
@@ -94,7 +95,7 @@
 	}
 }
 
-// LoadCount returns how many weight loads orders have started.
+// LoadCount returns the number of weight loads that orders have started.
 func (e *Engine) LoadCount() int {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
--- a/internal/standin/semaphore.go
+++ b/internal/standin/semaphore.go
@@ -20,6 +20,7 @@
 	ready    chan struct{}
 }
 
+// newSemaphore returns a semaphore with n slots; zero means no limit.
 func newSemaphore(n int) *semaphore { return &semaphore{free: n, limited: n > 0} }
 
 // acquire waits for a slot. It reports false if ctx is cancelled first.
@@ -45,13 +46,15 @@
 	}
 }
 
+// releaseCancelled releases a slot that was granted after the context was
+// cancelled. It returns false, the result of acquire.
 func (s *semaphore) releaseCancelled() bool {
 	s.release()
 	return false
 }
 
 // cancelWait removes w from the queue. If a slot was granted to w in the
-// meantime, it releases that slot.
+// meantime, it releases that slot. It returns false, the result of acquire.
 func (s *semaphore) cancelWait(w *waiter) bool {
 	s.mu.Lock()
 	at := slices.Index(s.waiting, w)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -28,17 +28,17 @@
 // ServiceFaults configures fault injection in a simulated service. The zero
 // value injects none.
 type ServiceFaults struct {
-	// Status sets the HTTP status of the response; the call is still executed.
+	// Status sets the HTTP status of the response; the request is still executed.
 	Status int
 	// Delay is the time between execution and response.
 	Delay time.Duration
-	// DropResponse executes the call, then closes the connection without a
+	// DropResponse executes the request, then closes the connection without a
 	// response.
 	DropResponse bool
 	// CloseAfterBytes closes the connection after this many bytes of the
 	// response body; zero is off.
 	CloseAfterBytes int
-	// MaxRequests limits the faults to this many calls; zero means all.
+	// MaxRequests limits the faults to this many requests; zero means all.
 	MaxRequests int
 }
 
@@ -91,7 +91,7 @@
 	s.goroutines.Wait()
 }
 
-// SetFaults replaces the injected faults for new calls.
+// SetFaults replaces the injected faults for new requests.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 // BlackholeConnections blackholes the open connections and returns their number.
 func (s *Service) BlackholeConnections() int { return s.blackhole.Blackhole() }
 
-// Executions returns the number of executed calls with the given
+// Executions returns the number of executed requests with the given
 // Idempotency-Key.
 func (s *Service) Executions(key string) int {
 	s.mu.Lock()
@@ -110,14 +110,14 @@
 	return s.executionsByKey[key]
 }
 
-// ExecutionCount returns the number of executed calls.
+// ExecutionCount returns the number of executed requests.
 func (s *Service) ExecutionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions
 }
 
-// DisconnectedCount returns the number of calls whose caller disconnected
+// DisconnectedCount returns the number of requests whose caller disconnected
 // before the response.
 func (s *Service) DisconnectedCount() int {
 	s.mu.Lock()
@@ -199,7 +199,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// execute records the call as executed and returns the faults to inject into it.
+// execute records the request as executed and returns the faults to inject into
+// it.
 func (s *Service) execute(r *http.Request, body []byte) ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
