--- a/internal/adapter/callerhttp/aggregate_test.go
+++ b/internal/adapter/callerhttp/aggregate_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Guards against panics and invalid JSON output on arbitrary data from callers
-// and engines.
+// Guards against panics, invalid JSON output and caller keys left in the query on
+// arbitrary data from callers and engines.
 func FuzzBodies(f *testing.F) {
 	f.Add([]byte(`{"model":"m","n":2,"prompt":["a","b"],"stream_options":{}}`))
 	f.Add([]byte(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0}]}}]}`))
--- a/internal/adapter/callerhttp/decode.go
+++ b/internal/adapter/callerhttp/decode.go
@@ -78,6 +78,8 @@
 	return newRefusal(http.StatusBadRequest, "bad_body", "the body could not be read")
 }
 
+// decodeCompletion reads and validates a completion request. The bool result
+// reports whether the caller asked for a stream.
 func (s *Server) decodeCompletion(w http.ResponseWriter, r *http.Request, snap *config.Snapshot, id identity) (*serving.Call, bool, *serving.Refusal) {
 	limits := snap.Document.Limits
 	body, refusal := readBody(w, r, limits.MaxBodyBytes)
--- a/internal/adapter/callerhttp/scrub.go
+++ b/internal/adapter/callerhttp/scrub.go
@@ -198,10 +198,11 @@
 	if len(word) < apikeys.Length {
 		return false
 	}
-	// The key may be followed by further key characters without a separator.
-	_, exact := s.snap.Owner(apikeys.HashKey(string(word[:apikeys.Length])))
-	_, whole := s.snap.Owner(apikeys.HashKey(string(word)))
-	return exact || whole
+	// A generated key has a fixed length and may be followed by further key
+	// characters without a separator.
+	_, startKnown := s.snap.Owner(apikeys.HashKey(string(word[:apikeys.Length])))
+	_, wordKnown := s.snap.Owner(apikeys.HashKey(string(word)))
+	return startKnown || wordKnown
 }
 
 // maxKeyBytes is the maximum length of a key that is recognized in a body.
--- a/internal/adapter/callerhttp/service.go
+++ b/internal/adapter/callerhttp/service.go
@@ -15,7 +15,7 @@
 )
 
 // maxReplayBytes limits how much of a request body is buffered for a second
-// attempt. A longer body is streamed, and its call is not retried.
+// attempt. A body of this size or more is streamed, and its call is not retried.
 const maxReplayBytes = 64 << 10
 
 // serveService forwards a call to a plain service.
--- a/internal/adapter/disk/record.go
+++ b/internal/adapter/disk/record.go
@@ -71,7 +71,7 @@
 	return buf
 }
 
-var errDamagedBody = errors.New("record body is malformed")
+var errMalformedBody = errors.New("record body is malformed")
 
 // fieldReader decodes consecutive fields. After the first malformed field, err
 // is set and all further fields are zero.
@@ -94,7 +94,7 @@
 
 func (p *fieldReader) advance(n int) {
 	if n < 0 {
-		p.err = errDamagedBody
+		p.err = errMalformedBody
 		p.data = nil
 		return
 	}
--- a/internal/adapter/disk/store_test.go
+++ b/internal/adapter/disk/store_test.go
@@ -251,7 +251,7 @@
 		next            []raft.Entry
 		want            []raft.Entry
 	}{
-		{"own", snapshotAt(4, 3), false, false, entries(3, 7, 7), append(entries(3, 5, 6), entries(3, 7, 7)...)},
+		{"taken locally", snapshotAt(4, 3), false, false, entries(3, 7, 7), append(entries(3, 5, 6), entries(3, 7, 7)...)},
 		{"received beyond the log", snapshotAt(9, 4), true, false, entries(4, 10, 10), entries(4, 10, 10)},
 		{"received beyond the log, crash", snapshotAt(9, 4), true, true, entries(4, 10, 10), entries(4, 10, 10)},
 		{"received over a conflict", snapshotAt(4, 4), true, false, entries(4, 5, 5), entries(4, 5, 5)},
--- a/internal/adapter/gossip/codec.go
+++ b/internal/adapter/gossip/codec.go
@@ -112,8 +112,8 @@
 		m.Targets = append(m.Targets, targetFromProto(t))
 	}
 	for _, b := range p.Beats {
-		beat := target.Heartbeat{Key: b.Key, Sequence: b.Sequence, Load: loadFromProto(b.Load)}
-		m.Heartbeats = append(m.Heartbeats, membership.HeartbeatUpdate{Heartbeat: beat, Age: fromMS(b.AgeMs)})
+		heartbeat := target.Heartbeat{Key: b.Key, Sequence: b.Sequence, Load: loadFromProto(b.Load)}
+		m.Heartbeats = append(m.Heartbeats, membership.HeartbeatUpdate{Heartbeat: heartbeat, Age: fromMS(b.AgeMs)})
 	}
 	for _, d := range p.Digests {
 		m.Digests = append(m.Digests, digestFromProto(d))
--- a/internal/adapter/gossip/conn.go
+++ b/internal/adapter/gossip/conn.go
@@ -70,8 +70,8 @@
 	c.core.UpdateSelf(c.clock(), revision, keyDigest)
 }
 
-// Announce gossips a heartbeat that this VM received directly from a target.
-// Change is the result of merging it into the registry.
+// Announce gossips a heartbeat that this VM received directly from a target. The
+// argument change is the result of merging it into the registry.
 func (c *Conn) Announce(a target.Announcement, change target.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/adapter/logsink/sink.go
+++ b/internal/adapter/logsink/sink.go
@@ -23,7 +23,8 @@
 	// write.
 	maxBatchBytes = 32 << 10
 	// batchDelay is how long the writer waits for more lines before a write,
-	// which limits it to a few wake-ups and writes per second.
+	// which limits it to a few wake-ups and writes per second. It does not wait
+	// while the queue is at least half full.
 	batchDelay = 100 * time.Millisecond
 	// flushTimeout is how long Close waits for the queued lines to be written
 	// when the process exits.
@@ -68,8 +69,8 @@
 	return len(line), nil
 }
 
-// Close stops accepting lines and waits up to flushTimeout until the queued ones
-// are written.
+// Close stops accepting lines and waits up to flushTimeout for the queued ones to
+// be written.
 func (s *Sink) Close() {
 	s.lines.Close()
 	select {
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -78,7 +78,7 @@
 }
 
 // firstTokenBuckets are the upper bounds of the first-token histogram buckets,
-// in seconds. 0.84 s is the latency objective.
+// in seconds. 0.84 s is the objective for the time to the first token.
 var firstTokenBuckets = []float64{0.05, 0.1, 0.25, 0.5, 0.84, 2, 5}
 
 func firstTokenBucket(seconds float64) string {
--- a/internal/adapter/statefile/statefile_test.go
+++ b/internal/adapter/statefile/statefile_test.go
@@ -38,6 +38,8 @@
 	}
 }
 
+// Guards against panics on damaged files, and against accepting a file that Write
+// cannot have written.
 func FuzzDecode(f *testing.F) {
 	f.Add(encode([]byte("payload")))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/adapter/targethttp/contract_test.go
+++ b/internal/adapter/targethttp/contract_test.go
@@ -57,7 +57,7 @@
 // Guards against failures of a target that are mistaken for a response or for
 // another kind of failure, or are detected only after the timeout. This is the
 // contract of serving.EngineClient.
-func TestEnginesContract(t *testing.T) {
+func TestEngineClientContract(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		handler http.HandlerFunc
--- a/internal/adapter/targethttp/orders.go
+++ b/internal/adapter/targethttp/orders.go
@@ -20,9 +20,9 @@
 // receives an order ID again takes no action and repeats its first response.
 type Order struct {
 	OrderID string `json:"order_id"`
-	// FencingToken is the fencing token. Targets that check fencing tokens
-	// reject an order with status 409 if its token is lower than the highest
-	// one they have seen.
+	// FencingToken increases with each new holder of the order lease. Targets
+	// that check it reject an order with status 409 if its token is lower than
+	// the highest one they have seen.
 	FencingToken uint64   `json:"fence"`
 	Kind         string   `json:"kind"`
 	Model        string   `json:"model"`
--- a/internal/adapter/targethttp/transport.go
+++ b/internal/adapter/targethttp/transport.go
@@ -34,7 +34,7 @@
 // carries only one request: an idle connection may have failed without notice,
 // and a request sent on it would wait for its whole timeout, whereas a dial
 // costs one round trip. HTTP/2 connections are shared by requests and replaced
-// as soon as one request on them stalls.
+// as soon as one request on them stalls or one service call does not complete.
 type transportPool struct {
 	dial  Dialer
 	http1 *http.Transport
@@ -107,9 +107,9 @@
 	}
 }
 
-// retire removes a transport on which a request stalled, so that no new request
-// uses its connection. Requests in progress on it continue until their own
-// timeouts.
+// retire removes an HTTP/2 transport on which a request stalled or did not
+// complete, so that no new request uses its connection. Requests in progress on
+// it continue until their own timeouts.
 func (t *transportPool) retire(dest *target.Target, rt *http.Transport) {
 	if rt == t.http1 {
 		return
