--- a/internal/burn/tracker.go
+++ b/internal/burn/tracker.go
@@ -54,7 +54,8 @@
 	latencies    map[latencyKey]*hdrhistogram.Histogram
 }
 
-// series holds one bucket per minute with events, oldest first.
+// series holds one bucket per minute with events, oldest first. Old buckets are
+// merged by compact.
 type series struct {
 	buckets []*burnv1.Bucket
 }
--- a/internal/cli/certs_test.go
+++ b/internal/cli/certs_test.go
@@ -10,8 +10,8 @@
 	"github.com/cuminwing/cuminwing/internal/settings"
 )
 
-// Guards against generated certificates that the daemon rejects, and against
-// VM names without a zone.
+// Guards against generated certificates that the daemon rejects, and against a
+// VM name without a zone that is accepted.
 func TestGeneratedCertificatesLoad(t *testing.T) {
 	folder := t.TempDir()
 	var out, errOut bytes.Buffer
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -49,16 +49,16 @@
 	if flags.servers == "" {
 		return nil, errors.New("no VM is named; use --server or CUMINWING_SERVER")
 	}
-	out := &client{output: flags.output}
+	c := &client{output: flags.output}
 	for _, address := range strings.Split(flags.servers, ",") {
 		address = strings.TrimSpace(address)
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return nil, fmt.Errorf("%q is not an IP address and port", address)
 		}
-		out.addresses = append(out.addresses, address)
-		out.services = append(out.services, adminv1.NewAdminServiceProtobufClient("http://"+address, &http.Client{}))
+		c.addresses = append(c.addresses, address)
+		c.services = append(c.services, adminv1.NewAdminServiceProtobufClient("http://"+address, &http.Client{}))
 	}
-	return out, nil
+	return c, nil
 }
 
 // command returns a command that calls f with a new client.
@@ -99,9 +99,9 @@
 	return resp, fmt.Errorf("no answer after %d attempts: %w", maxAttempts, err)
 }
 
-// retryable reports whether the outcome of the call may be unknown or the VM
-// could not handle it. Twirp reports a call without an HTTP response as an
-// internal error.
+// retryable reports whether a call that failed with err may be sent again: its
+// outcome may be unknown, or the VM could not handle it. Twirp reports a call
+// without an HTTP response as an internal error.
 func retryable(err error) bool {
 	var twirpErr twirp.Error
 	if !errors.As(err, &twirpErr) {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -26,7 +26,7 @@
 	return c.HelpLong(help + "\n\nExample:\n  " + line)
 }
 
-func readFile(name string) (*config.DocumentFile, error) {
+func readDocumentFile(name string) (*config.DocumentFile, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,9 @@
 // sectionChange is the change that a document file makes to one section.
 type sectionChange struct {
 	section config.Section
-	base    uint64
+	// base is the revision at which the file was read; if the file does not
+	// note it, the current revision.
+	base uint64
 	// current is the active section, nil if there is none.
 	current *configv1.Section
 	patch   []byte
--- a/internal/cli/config_apply.go
+++ b/internal/cli/config_apply.go
@@ -32,7 +32,7 @@
 }
 
 func (c *client) applyFile(name string, o editOptions, out, errOut io.Writer) (int, error) {
-	f, err := readFile(name)
+	f, err := readDocumentFile(name)
 	if err != nil {
 		return ExitRefused, err
 	}
--- a/internal/cli/config_diff.go
+++ b/internal/cli/config_diff.go
@@ -21,7 +21,7 @@
 }
 
 func (c *client) diff(name string, out io.Writer) (int, error) {
-	f, err := readFile(name)
+	f, err := readDocumentFile(name)
 	if err != nil {
 		return ExitRefused, err
 	}
--- a/internal/cli/config_validate.go
+++ b/internal/cli/config_validate.go
@@ -41,7 +41,7 @@
 }
 
 func validateFile(name string) (whole bool, err error) {
-	f, err := readFile(name)
+	f, err := readDocumentFile(name)
 	if err != nil {
 		return false, err
 	}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -29,6 +29,8 @@
 	// responses.
 	responseGrace = 60 * time.Second
 	maxIdleConns  = 256
+	// progressEvery is the number of requests sent between two updates of the
+	// progress line.
 	progressEvery = 50
 )
 
--- a/internal/cli/local_cluster.go
+++ b/internal/cli/local_cluster.go
@@ -96,6 +96,7 @@
 		}
 	}
 	count := min(maxVoters, len(order))
+	// The settings do not accept an even number of voters.
 	if count == 2 {
 		count = 1
 	}
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -99,11 +99,11 @@
 }
 
 // lossyProxy forwards calls to address, but drops the responses to the first
-// calls whose path ends in path; lose is the number of responses dropped.
-func lossyProxy(t *testing.T, address, path string, lose int64) string {
+// dropCount calls whose path ends in path.
+func lossyProxy(t *testing.T, address, path string, dropCount int64) string {
 	t.Helper()
 	var left atomic.Int64
-	left.Store(lose)
+	left.Store(dropCount)
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasSuffix(r.URL.Path, path) || left.Add(-1) < 0 {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Tests the lifecycle of a key: it is printed once on creation, listed only by
-// its hash, and can be withdrawn permanently.
+// Guards against a key that is printed again after its creation, and against a
+// withdrawal that accepts an unknown key or that the list of keys does not show.
 func TestKeyLifecycle(t *testing.T) {
 	t.Setenv("CUMINWING_SERVER", startTestVM(t))
 	runCLI(t, ExitOK, "config", "apply", writeFile(t, document))
@@ -154,8 +154,9 @@
 	requireText(t, runCLI(t, ExitOK, "keys", "list"), "withdrawn")
 }
 
-// Tests the exit codes for an invalid and an unreachable server, the examples
-// in the help, and that nothing follows the completion script.
+// Guards against wrong exit codes for an invalid and an unreachable server, a
+// refused connection that is retried for as long as one that times out, help
+// without an example, and output after the completion script.
 func TestUnreachableServerAndHelp(t *testing.T) {
 	runCLI(t, ExitRefused, "status", "--server", "not-an-address")
 	start := time.Now()
--- a/internal/cmd/measure/main.go
+++ b/internal/cmd/measure/main.go
@@ -46,7 +46,7 @@
 		writeTable(&out, enginemodel.Policies, results[i])
 		writeGoals(&out, results[i])
 	}
-	writeParts(&out, deployments[0])
+	writeAblations(&out, deployments[0])
 	writeVariants(&out, deployments[0])
 	if err := writePlots(&out, deployments, results); err != nil {
 		return err
@@ -130,8 +130,7 @@
 	cuminwingIndex        = 4
 )
 
-// writeGoals compares the results with the values that the design document
-// requires.
+// writeGoals compares the results with the values that the design page requires.
 func writeGoals(out *strings.Builder, results []*enginemodel.Result) {
 	least, best, ours := results[leastOutstandingIndex].Summarize(), results[oracleIndex].Summarize(), results[cuminwingIndex].Summarize()
 	writeGoal := func(name string, value, limit float64, met bool) {
@@ -152,7 +151,7 @@
 		ratio(best.P99, least.P99), best.WorstWorkspaceRatio, ours.EvictionAge.Seconds())
 }
 
-func writeParts(out *strings.Builder, c enginemodel.Config) {
+func writeAblations(out *strings.Builder, c enginemodel.Config) {
 	fmt.Fprintf(out, "## Parts of the picker (%s)\n\n", c.Name)
 	writeTable(out, enginemodel.Ablations, runPooled(c, enginemodel.Ablations))
 }
--- a/internal/config/docfile.go
+++ b/internal/config/docfile.go
@@ -80,8 +80,8 @@
 }
 
 // Digest returns the hexadecimal SHA-256 of the section's JSON.
-func (c RawSection) Digest() string {
-	sum := sha256.Sum256(c.JSON())
+func (s RawSection) Digest() string {
+	sum := sha256.Sum256(s.JSON())
 	return hex.EncodeToString(sum[:])
 }
 
@@ -120,8 +120,8 @@
 }
 
 // Document decodes the sections of the file and returns every problem found,
-// including references between sections. Sections that are not in the file are
-// empty.
+// including invalid references between sections. Sections that are not in the
+// file are empty.
 func (f *DocumentFile) Document() (*Document, []Problem) {
 	var d Document
 	var problems []Problem
@@ -165,8 +165,8 @@
 	return problems
 }
 
-// ValidateSections returns the problems of each section on its own, without
-// references between sections.
+// ValidateSections returns the problems of each section on its own. It does not
+// check references between sections.
 func (f *DocumentFile) ValidateSections() []Problem {
 	var problems []Problem
 	for name, contents := range f.Sections {
@@ -185,4 +185,4 @@
 	return true
 }
 
-func (c RawSection) memberNames() []string { return sortedNames(c) }
+func (s RawSection) memberNames() []string { return sortedNames(s) }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -66,7 +66,7 @@
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second,omitempty"`
 	// KVBytesPerToken is the size of the KV cache of one token.
 	KVBytesPerToken int `json:"kv_bytes_per_token,omitempty"`
-	// MaxContextTokens is the maximum length of the prompt plus the answer.
+	// MaxContextTokens is the maximum length of the prompt plus the response.
 	MaxContextTokens int `json:"max_context_tokens,omitempty"`
 }
 
@@ -211,8 +211,8 @@
 	MaxPromptTokens int `json:"max_prompt_tokens,omitempty"`
 	// MaxConcurrentPerVM limits the running requests of one VM.
 	MaxConcurrentPerVM int `json:"max_concurrent_per_vm,omitempty"`
-	// DefaultMaxTokens is the answer length assumed for a request that sets
-	// none.
+	// DefaultMaxTokens is the response length, in tokens, assumed for a request
+	// that does not limit it.
 	DefaultMaxTokens int `json:"default_max_tokens,omitempty"`
 	// HeartbeatMS is the interval of the heartbeat comments sent to waiting
 	// callers.
--- a/internal/config/incremental.go
+++ b/internal/config/incremental.go
@@ -13,16 +13,16 @@
 // NewIncrementalValidator returns a validator for changes to d, which must be
 // valid.
 func NewIncrementalValidator(d Document) *IncrementalValidator {
-	c := &IncrementalValidator{owners: make(map[apikeys.Hash]string)}
+	iv := &IncrementalValidator{owners: make(map[apikeys.Hash]string)}
 	for name, w := range d.Workspaces {
-		c.addKeys(name, w)
+		iv.addKeys(name, w)
 	}
-	return c
+	return iv
 }
 
 // Validate returns every problem of next. changed lists, by section, the members
 // that may differ from the valid document old.
-func (c *IncrementalValidator) Validate(old, next Document, changed map[Section][]string) []Problem {
+func (iv *IncrementalValidator) Validate(old, next Document, changed map[Section][]string) []Problem {
 	v := &validator{doc: next}
 	v.doc.Models = mapValues(next.Models, modelDefaults)
 	v.doc.Routes = mapValues(next.Routes, routeDefaults)
@@ -31,18 +31,19 @@
 	v.checkRoutes()
 	v.checkObjectives()
 	v.checkZones()
-	c.checkChangedWorkspaces(v, old, next, changed[SectionWorkspaces])
+	iv.checkChangedWorkspaces(v, old, next, changed[SectionWorkspaces])
 	for _, name := range changed[SectionRates] {
 		v.checkChangedRate(name)
 	}
 	if len(v.problems) == 0 {
 		return nil
 	}
-	// Full validation gives every voter the same problem texts.
+	// The problems of full validation are returned, so that every voter reports
+	// the same texts.
 	return next.Validate()
 }
 
-func (c *IncrementalValidator) checkChangedWorkspaces(v *validator, old, next Document, names []string) {
+func (iv *IncrementalValidator) checkChangedWorkspaces(v *validator, old, next Document, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -60,7 +61,7 @@
 			continue
 		}
 		for _, h := range keyHashes(w) {
-			if owner, taken := c.owners[h]; taken && !removed[h] {
+			if owner, taken := iv.owners[h]; taken && !removed[h] {
 				owners[h] = owner
 			}
 		}
@@ -82,20 +83,20 @@
 }
 
 // Apply updates the validator after a change that Validate found valid.
-func (c *IncrementalValidator) Apply(old, next Document, changed map[Section][]string) {
+func (iv *IncrementalValidator) Apply(old, next Document, changed map[Section][]string) {
 	for _, name := range changed[SectionWorkspaces] {
 		for _, h := range keyHashes(old.Workspaces[name]) {
-			delete(c.owners, h)
+			delete(iv.owners, h)
 		}
 	}
 	for _, name := range changed[SectionWorkspaces] {
-		c.addKeys(name, next.Workspaces[name])
+		iv.addKeys(name, next.Workspaces[name])
 	}
 }
 
-func (c *IncrementalValidator) addKeys(name string, w Workspace) {
+func (iv *IncrementalValidator) addKeys(name string, w Workspace) {
 	for _, h := range keyHashes(w) {
-		c.owners[h] = name
+		iv.owners[h] = name
 	}
 }
 
--- a/internal/config/incremental_test.go
+++ b/internal/config/incremental_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against an edit on which the incremental check and the validation of
-// the whole document disagree.
-func TestCheckerAgreesWithFullValidation(t *testing.T) {
+// Guards against an edit on which the incremental validation and the validation
+// of the whole document disagree.
+func TestIncrementalValidatorAgreesWithFullValidation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Document{
 			Models:     map[string]Model{"m": {ServingVersion: "v1"}},
@@ -20,15 +20,15 @@
 			Routes:     map[string]Route{"r": {Kind: KindModel, Model: "m"}},
 			Zones:      map[string]Zone{"z": {Region: "r", VMSlots: 1}},
 		}
-		checker := NewIncrementalValidator(d)
+		incremental := NewIncrementalValidator(d)
 		for range rapid.IntRange(1, 20).Draw(t, "edits") {
 			next, changed := randomEdit(t, d)
-			got, want := checker.Validate(d, next, changed), next.Validate()
+			got, want := incremental.Validate(d, next, changed), next.Validate()
 			if len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
-				t.Fatalf("incremental check returned %v, full validation %v", got, want)
+				t.Fatalf("incremental validation returned %v, full validation %v", got, want)
 			}
 			if len(want) == 0 {
-				checker.Apply(d, next, changed)
+				incremental.Apply(d, next, changed)
 				d = next
 			}
 		}
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -14,33 +14,33 @@
 
 // ParseRawSection decodes the JSON object of one section.
 func ParseRawSection(data []byte) (RawSection, error) {
-	var c RawSection
-	if err := json.Unmarshal(data, &c); err != nil {
+	var s RawSection
+	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, err
 	}
-	for name, raw := range c {
+	for name, raw := range s {
 		compact, err := canonicalize(raw)
 		if err != nil {
 			return nil, err
 		}
-		c[name] = compact
+		s[name] = compact
 	}
-	return c, nil
+	return s, nil
 }
 
 // JSON encodes the section with its members sorted by name.
-func (c RawSection) JSON() []byte {
-	if c == nil {
+func (s RawSection) JSON() []byte {
+	if s == nil {
 		return []byte("{}")
 	}
 	// The members are valid JSON, so encoding cannot fail.
-	data, _ := json.Marshal(map[string]json.RawMessage(c))
+	data, _ := json.Marshal(map[string]json.RawMessage(s))
 	return data
 }
 
 // Merge applies a JSON merge patch (RFC 7396) to the section. It returns the
 // merged section and the sorted names of the members in the patch.
-func (c RawSection) Merge(patch []byte) (RawSection, []string, error) {
+func (s RawSection) Merge(patch []byte) (RawSection, []string, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(patch, &members); err != nil {
 		return nil, nil, fmt.Errorf("patch is not a JSON object: %w", err)
@@ -48,7 +48,7 @@
 	if members == nil {
 		return nil, nil, fmt.Errorf("patch is null, want a JSON object")
 	}
-	merged := maps.Clone(c)
+	merged := maps.Clone(s)
 	if merged == nil {
 		merged = make(RawSection, len(members))
 	}
@@ -103,17 +103,17 @@
 	return object
 }
 
-// MergePatchTo returns the merge patch that turns c into want, or nil if they
+// MergePatchTo returns the merge patch that turns s into want, or nil if they
 // are equal.
-func (c RawSection) MergePatchTo(want RawSection) []byte {
+func (s RawSection) MergePatchTo(want RawSection) []byte {
 	patch := make(map[string]any)
-	for name := range c {
+	for name := range s {
 		if _, kept := want[name]; !kept {
 			patch[name] = nil
 		}
 	}
 	for name, raw := range want {
-		old, known := c[name]
+		old, known := s[name]
 		if known && bytes.Equal(old, raw) {
 			continue
 		}
@@ -198,9 +198,9 @@
 // AppendKey returns the merge patch that adds a key to a workspace. A merge
 // patch replaces lists as a whole, so the patch repeats the existing keys of
 // the workspace.
-func (c RawSection) AppendKey(workspace string, key Key) ([]byte, error) {
+func (s RawSection) AppendKey(workspace string, key Key) ([]byte, error) {
 	var entry Workspace
-	if raw, known := c[workspace]; known {
+	if raw, known := s[workspace]; known {
 		if err := decodeStrict(raw, &entry); err != nil {
 			return nil, err
 		}
--- a/internal/config/seed_test.go
+++ b/internal/config/seed_test.go
@@ -7,7 +7,7 @@
 )
 
 // The seed is fixed so that CI gives the same result in every run. Use
-// -rapid.seed for another seed and -rapid.checks for more schedules.
+// -rapid.seed for another seed and -rapid.checks for more random cases.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -289,8 +289,9 @@
 	}
 }
 
-// sortedNames returns the names in a fixed order, in which duplicates are then
-// found: every voter must give the same response to an edit.
+// sortedNames returns the names of m in ascending order. Checks for duplicates
+// visit the names in this order, because every voter must give the same response
+// to an edit.
 func sortedNames[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/enginemodel/model_test.go
+++ b/internal/enginemodel/model_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("p99 %v, want at most half of least outstanding's %v and 1.2 times the oracle's %v", ours.P99, least.P99, oracle.P99)
 	}
 	if ours.RecomputedFraction >= 0.05 {
-		t.Errorf("wasted fraction of the prompt tokens %.3f, want below 0.05", ours.RecomputedFraction)
+		t.Errorf("recomputed fraction of the prompt tokens %.3f, want below 0.05", ours.RecomputedFraction)
 	}
 	if ours.WorstWorkspaceRatio > 1.15 {
 		t.Errorf("p99 of the worst workspace is %.3f times the median, want at most 1.15", ours.WorstWorkspaceRatio)
--- a/internal/enginemodel/policy.go
+++ b/internal/enginemodel/policy.go
@@ -162,21 +162,22 @@
 		}
 		p.vms = append(p.vms, vm)
 	}
-	p.tickIndexes()
+	p.removeExpired()
 	return p
 }
 
-// tickInterval is the interval at which the daemon ticks its indexes.
-const tickInterval = 200 * time.Millisecond
+// expiryInterval is the interval at which expired entries are removed from the
+// indexes, as in the daemon.
+const expiryInterval = 200 * time.Millisecond
 
-func (p *pickerPolicy) tickIndexes() {
+func (p *pickerPolicy) removeExpired() {
 	p.sharedIndex.RemoveExpired()
 	for _, vm := range p.vms {
 		if vm.prefixPicker != nil {
 			vm.prefixPicker.Index.RemoveExpired()
 		}
 	}
-	p.scheduleAfter(tickInterval, p.tickIndexes)
+	p.scheduleAfter(expiryInterval, p.removeExpired)
 }
 
 func (p *pickerPolicy) place(r *request) (*engine, time.Duration) {
@@ -244,8 +245,8 @@
 }
 
 // onDispatch returns the dispatch callback of a VM, which informs the owner of
-// the chain and, if tellPeers is set, the other VMs.
-func (p *pickerPolicy) onDispatch(vm int, tellPeers bool) func(d routing.Dispatch) {
+// the chain and, if notifyPeers is set, the other VMs.
+func (p *pickerPolicy) onDispatch(vm int, notifyPeers bool) func(d routing.Dispatch) {
 	return func(d routing.Dispatch) {
 		p.scheduleAfter(p.config.PublishLag, func() {
 			if d.Failed {
@@ -255,7 +256,7 @@
 			p.sharedIndex.Predict(d.Ref, d.Chain, d.HeldBlocks)
 			p.coalescer.Complete(d.Chain)
 			for i, other := range p.vms {
-				if tellPeers && i != vm {
+				if notifyPeers && i != vm {
 					other.prefixPicker.AddPeerDispatch(d.Ref, d.PrefillTime)
 				}
 			}
--- a/internal/enginemodel/result.go
+++ b/internal/enginemodel/result.go
@@ -7,14 +7,14 @@
 
 // Result collects the samples of one or more runs.
 type Result struct {
-	warmup         time.Duration
-	firstTokens    [][]time.Duration
-	refused        int
-	promptTokens   int
-	reusedTokens   int
-	wastedTokens   int
-	evictions      int
-	evictionAgeSum time.Duration
+	warmup           time.Duration
+	firstTokens      [][]time.Duration
+	refused          int
+	promptTokens     int
+	reusedTokens     int
+	recomputedTokens int
+	evictions        int
+	evictionAgeSum   time.Duration
 }
 
 func newResult(c Config) *Result {
@@ -31,7 +31,7 @@
 	r.firstTokens[q.workspace] = append(r.firstTokens[q.workspace], first)
 	r.promptTokens += q.promptTokens
 	r.reusedTokens += q.cachedTokens
-	r.wastedTokens += max(0, q.reusableTokens-q.cachedTokens)
+	r.recomputedTokens += max(0, q.reusableTokens-q.cachedTokens)
 }
 
 func (r *Result) recordEvictions(blocks int, age time.Duration) {
@@ -53,7 +53,7 @@
 	r.refused += other.refused
 	r.promptTokens += other.promptTokens
 	r.reusedTokens += other.reusedTokens
-	r.wastedTokens += other.wastedTokens
+	r.recomputedTokens += other.recomputedTokens
 	r.evictions += other.evictions
 	r.evictionAgeSum += other.evictionAgeSum
 }
@@ -84,7 +84,7 @@
 	all := slices.Concat(r.firstTokens...)
 	m := Summary{Requests: len(all), P50: quantile(all, 0.5), P99: quantile(all, 0.99)}
 	m.HitRate = float64(r.reusedTokens) / float64(max(1, r.promptTokens))
-	m.RecomputedFraction = float64(r.wastedTokens) / float64(max(1, r.promptTokens))
+	m.RecomputedFraction = float64(r.recomputedTokens) / float64(max(1, r.promptTokens))
 	m.Refused = float64(r.refused) / float64(max(1, len(all)))
 	m.EvictionAge = r.evictionAgeSum / time.Duration(max(1, r.evictions))
 	var tails []time.Duration
--- a/internal/loadgen/measure.go
+++ b/internal/loadgen/measure.go
@@ -75,8 +75,8 @@
 	P99 float64 `json:"p99"`
 }
 
-// Counters holds token counters summed over all VMs. They are read before and
-// after a run.
+// Counters holds token counters summed over all VMs. They are read at the end of
+// the warm-up and at the end of the run.
 type Counters struct {
 	PromptTokens int64
 	CachedTokens int64
@@ -133,7 +133,8 @@
 }
 
 // Summarize evaluates the results. Requests sent before the end of the warm-up
-// are only checked for violated guarantees.
+// count only for the violated guarantees, the token buckets of checkRates and
+// uniqueTokens. counters must not include the warm-up.
 func Summarize(p *Profile, d config.Document, results []Result, counters Counters, warmup time.Duration) Summary {
 	s := Summary{Codes: make(map[string]int)}
 	var latencies []time.Duration
--- a/internal/loadgen/profile.go
+++ b/internal/loadgen/profile.go
@@ -186,11 +186,11 @@
 // workspace to the model share, a document, one of its sections, and a random
 // question.
 func prompt(rng *rand.Rand, workspace string, m Model, document int) string {
-	headBlocks := m.PromptBlocks / 4
+	instructionBlocks := m.PromptBlocks / 4
 	sectionBlocks := m.PromptBlocks / 4
-	documentBlocks := m.PromptBlocks - headBlocks - sectionBlocks
+	documentBlocks := m.PromptBlocks - instructionBlocks - sectionBlocks
 	var b strings.Builder
-	writeBlocks(&b, workspace+" "+m.Name+" instructions ", headBlocks)
+	writeBlocks(&b, workspace+" "+m.Name+" instructions ", instructionBlocks)
 	writeBlocks(&b, fmt.Sprintf("%s %s document %d ", workspace, m.Name, document), documentBlocks)
 	writeBlocks(&b, fmt.Sprintf("%s %s document %d section %d ", workspace, m.Name, document, rng.IntN(sectionsPerDocument)), sectionBlocks)
 	fmt.Fprintf(&b, "question %d", rng.Uint64())
