--- a/internal/adapter/callerhttp/aggregate_test.go
+++ b/internal/adapter/callerhttp/aggregate_test.go
@@ -11,7 +11,7 @@
 
 // Guards against non-streaming responses that lose tool calls, choices, log
 // probabilities or token counts while they are assembled from events.
-func TestWholeAnswerKeepsEverything(t *testing.T) {
+func TestNonStreamingResponseKeepsEverything(t *testing.T) {
 	sink := &aggregateSink{call: &serving.Call{Path: "/v1/chat/completions"}}
 	for _, data := range []string{
 		`{"id":"x","object":"chat.completion.chunk","created":5,"model":"m","system_fingerprint":"fp","choices":[{"index":0,"delta":{"role":"assistant","content":""}}]}`,
--- a/internal/adapter/callerhttp/server.go
+++ b/internal/adapter/callerhttp/server.go
@@ -25,7 +25,7 @@
 type KeyValidator interface {
 	// Usable reports whether workspace may currently use the key with hash h.
 	Usable(h apikeys.Hash, workspace config.Workspace) bool
-	// Watch returns a context that is cancelled when the key is withdrawn.
+	// Watch returns a context that is canceled when the key is withdrawn.
 	Watch(ctx context.Context, h apikeys.Hash) (context.Context, context.CancelFunc)
 }
 
@@ -163,7 +163,7 @@
 	s.serveNonStreaming(ctx, w, call)
 }
 
-// watchKey returns a context that is cancelled with the cause
+// watchKey returns a context that is canceled with the cause
 // serving.ErrKeyWithdrawn when the caller's key is withdrawn.
 func (s *Server) watchKey(ctx context.Context, id identity) (context.Context, context.CancelFunc) {
 	if id.workspace == "" {
--- a/internal/adapter/replica/transport.go
+++ b/internal/adapter/replica/transport.go
@@ -35,7 +35,7 @@
 	URL func(address string) string
 	// Client sends the requests.
 	Client *http.Client
-	// Go starts a goroutine whose context is cancelled when the VM stops.
+	// Go starts a goroutine whose context is canceled when the VM stops.
 	Go func(func(context.Context))
 
 	mu     sync.Mutex
--- a/internal/adapter/targethttp/engine.go
+++ b/internal/adapter/targethttp/engine.go
@@ -77,7 +77,7 @@
 // abort tells the engine to cancel the request. After a stall, it sends the
 // message over a new connection, because the first one may have failed
 // silently. After a DialError or a StatusError, no request runs that could be
-// cancelled.
+// canceled.
 func (e *EngineClient) abort(t *target.Target, rt *http.Transport, req serving.EngineRequest, cause error) {
 	switch cause.(type) {
 	case *serving.DialError, *serving.StatusError:
--- a/internal/apikeys/withdrawn.go
+++ b/internal/apikeys/withdrawn.go
@@ -73,7 +73,7 @@
 	return out
 }
 
-// Watch returns a context that is cancelled when the key is withdrawn. The
+// Watch returns a context that is canceled when the key is withdrawn. The
 // caller must call the returned function to release the watch.
 func (w *WithdrawnSet) Watch(ctx context.Context, h Hash) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -269,7 +269,7 @@
 func (f *Front) probeUnreachableTargets(ctx context.Context) {
 	for pause.For(ctx, targetProbeInterval) {
 		var probes sync.WaitGroup
-		for _, t := range f.placer.DownTargets() {
+		for _, t := range f.placer.UnreachableTargets() {
 			probes.Go(func() { f.probeTarget(ctx, t) })
 		}
 		probes.Wait()
--- a/internal/idempotency/schedule_test.go
+++ b/internal/idempotency/schedule_test.go
@@ -224,7 +224,7 @@
 
 // Guards against a request that runs twice, and against a resend that is answered
 // with not-run or with another response although the request has run.
-func TestExecutionsPerKey(t *testing.T) {
+func TestAtMostOneExecutionPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{t: t, machine: newMachine(), now: time.UnixMilli(1), executions: make(map[string]int)}
 		s.services = []*serving.Service{s.newVM(), s.newVM()}
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// DownTargets returns the targets that are down and not excluded.
-func (p *Placer) DownTargets() []Target {
+// UnreachableTargets returns the targets that are down and not excluded.
+func (p *Placer) UnreachableTargets() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Target
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -168,12 +168,12 @@
 				t.Fatalf("front %d placed a request at the unreachable engine", i)
 			}
 		}
-		if down := p.DownTargets(); len(down) != 1 || down[0].ID != unreachable {
+		if down := p.UnreachableTargets(); len(down) != 1 || down[0].ID != unreachable {
 			t.Fatalf("front %d lists %v as down, want only the unreachable engine", i, down)
 		}
 	}
 	fronts[1].RecordReachable(unreachable)
-	if len(fronts[1].DownTargets()) != 0 {
+	if len(fronts[1].UnreachableTargets()) != 0 {
 		t.Error("engine is still marked as down after it was reached")
 	}
 	clock.advance(time.Minute)
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -93,7 +93,7 @@
 
 // Guards against a rollout that leaves a service without serving engines, and
 // against one that takes longer than 8 s, the guaranteed limit for old weights.
-func TestRollOutLeavesTwoThirdsForTheTraffic(t *testing.T) {
+func TestRolloutKeepsTwoThirdsServing(t *testing.T) {
 	for _, engines := range []int{1, 2, 9, 18, 60} {
 		s := newSimulation(engines)
 		s.state.Weights["m"] = 2
@@ -111,7 +111,7 @@
 
 // Guards against engines that are never updated because versions follow each
 // other quickly and each rollout starts with the same engines.
-func TestNoEngineIsLeftBehindWhenVersionsFollowQuickly(t *testing.T) {
+func TestFrequentVersionsStarveNoEngine(t *testing.T) {
 	s := newSimulation(9)
 	for version := uint64(2); version <= 6; version++ {
 		s.state.Weights["m"] = version
@@ -149,7 +149,7 @@
 
 // Guards against an order that overlaps with an order of the previous lease
 // holder.
-func TestNoOrderIsGivenBeforeTheLeaseOfTheHolderBeforeHasEnded(t *testing.T) {
+func TestNoOrderBeforePreviousLeaseExpires(t *testing.T) {
 	s := newSimulation(9)
 	s.state.Weights["m"] = 2
 	const ordersFrom = 3 * time.Second
--- a/internal/serving/hedge.go
+++ b/internal/serving/hedge.go
@@ -31,7 +31,7 @@
 // dispatchHedged makes an attempt. If the route is configured for hedging and
 // no response header has arrived after HedgeAfterMS, it makes a second attempt
 // at another target. The first response wins and the other attempt is
-// cancelled. A call whose body is not buffered is not hedged, because its body
+// canceled. A call whose body is not buffered is not hedged, because its body
 // can be sent only once.
 func (f *forwarder) dispatchHedged(ctx context.Context, pick *Pick) (*ServiceResponse, *Pick, error) {
 	if f.call.Route.HedgeAfterMS <= 0 || !f.req.Buffered {
@@ -67,7 +67,7 @@
 }
 
 // launch starts an attempt with a context of its own, so that it can be
-// cancelled independently of the other attempt.
+// canceled independently of the other attempt.
 func (f *forwarder) launch(ctx context.Context, pick *Pick, results chan<- *hedgeAttempt) *hedgeAttempt {
 	f.attempts++
 	ctx, cancel := context.WithCancel(ctx)
@@ -106,7 +106,7 @@
 }
 
 // cancelRemaining cancels the attempts in flight and collects their results in
-// the background. It reports them as ErrAbandoned, because a cancelled attempt
+// the background. It reports them as ErrAbandoned, because a canceled attempt
 // says nothing about the health of its target.
 func (f *forwarder) cancelRemaining(running []*hedgeAttempt, results <-chan *hedgeAttempt) {
 	for _, a := range running {
--- a/internal/serving/ports.go
+++ b/internal/serving/ports.go
@@ -321,7 +321,7 @@
 	// Next waits for the next chunk, no longer than limit.
 	Next(limit time.Duration) (Chunk, error)
 	// Close ends the stream. If the stream was not finished, the engine's work
-	// is cancelled and the connection is not reused.
+	// is canceled and the connection is not reused.
 	Close()
 }
 
@@ -404,11 +404,11 @@
 // ErrStalled is returned if a target sent nothing new within the time limit.
 var ErrStalled = errors.New("target made no progress within the time limit")
 
-// ErrAbandoned is the result of an attempt that was not made, or was cancelled
+// ErrAbandoned is the result of an attempt that was not made, or was canceled
 // through no fault of its target.
 var ErrAbandoned = errors.New("attempt abandoned before it was made or completed")
 
-// ErrKeyWithdrawn is the cause of a context that was cancelled because the
+// ErrKeyWithdrawn is the cause of a context that was canceled because the
 // caller's API key was withdrawn.
 var ErrKeyWithdrawn = errors.New("API key withdrawn")
 
--- a/internal/standin/cache_test.go
+++ b/internal/standin/cache_test.go
@@ -130,7 +130,7 @@
 }
 
 // Guards the priority order of waiters, and against slots that leak when a
-// waiter is cancelled.
+// waiter is canceled.
 func TestSlotsByPriority(t *testing.T) {
 	s := newSemaphore(1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,7 +148,7 @@
 	waitForWaiters(t, s, 3)
 	cancel()
 	if <-acquired {
-		t.Error("acquire succeeded after its context was cancelled")
+		t.Error("acquire succeeded after its context was canceled")
 	}
 	for _, want := range []int{0, 10} {
 		s.release()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -66,7 +66,7 @@
 // RequestCount returns the number of requests that reached the engine.
 func (e *Engine) RequestCount() int { return e.faults.readCounter(&e.faults.started) }
 
-// CancelledCount returns the number of requests that were cancelled, or whose
+// CancelledCount returns the number of requests that were canceled, or whose
 // caller disconnected, before the response was complete.
 func (e *Engine) CancelledCount() int { return e.faults.readCounter(&e.faults.cancelled) }
 
--- a/internal/standin/semaphore.go
+++ b/internal/standin/semaphore.go
@@ -23,7 +23,7 @@
 // newSemaphore returns a semaphore with n slots; zero means no limit.
 func newSemaphore(n int) *semaphore { return &semaphore{free: n, limited: n > 0} }
 
-// acquire waits for a slot. It reports false if ctx is cancelled first.
+// acquire waits for a slot. It reports false if ctx is canceled first.
 func (s *semaphore) acquire(ctx context.Context, priority int) bool {
 	s.mu.Lock()
 	if !s.limited || s.free > 0 {
@@ -47,7 +47,7 @@
 }
 
 // releaseCancelled releases a slot that was granted after the context was
-// cancelled. It returns false, the result of acquire.
+// canceled. It returns false, the result of acquire.
 func (s *semaphore) releaseCancelled() bool {
 	s.release()
 	return false
