--- a/internal/daemon/broadcast.go
+++ b/internal/daemon/broadcast.go
@@ -52,13 +52,13 @@
 	return peers
 }
 
-// zoneTally counts by zone which VMs have confirmed.
+// zoneTally counts by zone how many VMs are known and how many have confirmed.
 type zoneTally struct {
 	mu    sync.Mutex
 	zones map[string]*adminv1.ZoneReach
 }
 
-// unknownZone stands for voters that have neither answered nor been members.
+// unknownZone stands for voters that have neither responded nor been members.
 const unknownZone = "unknown"
 
 // newTally returns a tally with the zones of the document, so that a zone
@@ -122,7 +122,8 @@
 }
 
 // pollPeers asks every other VM for a confirmation and counts the responses by
-// zone. confirm returns the zone that the VM states, and whether it confirmed.
+// zone; self is the confirmation of this VM. confirm returns the zone that the
+// VM states, and whether it confirmed.
 func (n *Node) pollPeers(ctx context.Context, self bool, confirm func(ctx context.Context, p peer) (string, bool)) []*adminv1.ZoneReach {
 	tally := n.newTally()
 	tally.count(n.settings.Zone, self)
--- a/internal/daemon/callertls.go
+++ b/internal/daemon/callertls.go
@@ -61,11 +61,11 @@
 // match, load does not try again until a file changes again.
 func (c *certificateReloader) load() error {
 	c.lastCheck = time.Now()
-	stamp := fileFingerprint(c.files.CertFile) + fileFingerprint(c.files.KeyFile)
-	if stamp == c.fingerprint {
+	fingerprint := fileFingerprint(c.files.CertFile) + fileFingerprint(c.files.KeyFile)
+	if fingerprint == c.fingerprint {
 		return nil
 	}
-	c.fingerprint = stamp
+	c.fingerprint = fingerprint
 	pair, err := tls.LoadX509KeyPair(c.files.CertFile, c.files.KeyFile)
 	if err != nil {
 		return fmt.Errorf("load caller certificate: %w", err)
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -52,10 +52,10 @@
 	return &vmLog{l, vm}
 }
 
-func (l *testLog) setPartitioned(vm string, cut bool) {
+func (l *testLog) setPartitioned(vm string, partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.partitioned[vm] = cut
+	l.partitioned[vm] = partitioned
 }
 
 type vmLog struct {
@@ -208,12 +208,12 @@
 
 func (p partitionedPacketConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	p.cluster.mu.Lock()
-	cut := p.cluster.blocked[p.vm]
+	drop := p.cluster.blocked[p.vm]
 	for name, address := range p.cluster.gossip {
-		cut = cut || p.cluster.blocked[name] && address == to.String()
+		drop = drop || p.cluster.blocked[name] && address == to.String()
 	}
 	p.cluster.mu.Unlock()
-	if cut {
+	if drop {
 		return len(data), nil
 	}
 	return p.PacketConn.WriteTo(data, to)
@@ -243,12 +243,12 @@
 
 // partition isolates a VM from all others and from the log, or ends the
 // partition.
-func (c *testCluster) partition(i int, cut bool) {
+func (c *testCluster) partition(i int, partitioned bool) {
 	vm := vmName(i)
-	c.log.setPartitioned(vm, cut)
+	c.log.setPartitioned(vm, partitioned)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.blocked[vm] = cut
+	c.blocked[vm] = partitioned
 	for _, conn := range c.conns[vm] {
 		_ = conn.Close()
 	}
--- a/internal/daemon/configedit.go
+++ b/internal/daemon/configedit.go
@@ -176,12 +176,12 @@
 }
 
 func (d *distribution) notifyStaleMembers(ctx context.Context) {
-	behind := d.staleMembers()
+	stale := d.staleMembers()
 	h := hint{d.revision(), d.node.settings.PeerAddress}
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	d.node.broadcast(ctx, func(ctx context.Context, p peer) {
-		if behind[p.vm] {
+		if stale[p.vm] {
 			d.notify(ctx, p, h, 0)
 		}
 	})
@@ -190,21 +190,21 @@
 // staleMembers returns the VMs that do not announce at least the revision of
 // this VM.
 func (d *distribution) staleMembers() map[string]bool {
-	behind := make(map[string]bool)
+	stale := make(map[string]bool)
 	for _, p := range d.node.peers() {
-		behind[p.vm] = true
+		stale[p.vm] = true
 	}
 	own := d.revision()
 	for _, m := range d.node.members() {
 		if m.ConfigRevision >= own {
-			delete(behind, m.VM)
+			delete(stale, m.VM)
 		}
 	}
-	return behind
+	return stale
 }
 
 // firstDocumentRetryInterval is how often the first document is proposed until
-// the log has decided.
+// the log has accepted or rejected it.
 const firstDocumentRetryInterval = time.Second
 
 // proposeFirstDocument proposes the document file of the settings if the log
--- a/internal/daemon/distribution_pull.go
+++ b/internal/daemon/distribution_pull.go
@@ -80,8 +80,8 @@
 }
 
 // pullRound asks zone peers first, then the VM named in the hint, then other
-// VMs. It asks the next source as soon as the previous one has answered, or
-// after pullStagger if it has not.
+// VMs. It asks the next source as soon as the previous one has responded,
+// or after pullStagger if it has not.
 func (d *distribution) pullRound(ctx context.Context, h hint) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
--- a/internal/daemon/distribution_test.go
+++ b/internal/daemon/distribution_test.go
@@ -67,7 +67,7 @@
 	c.log.mu.Unlock()
 	edit := rateEdit("lost", base, 20)
 	if _, err := adminClientOf(a).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit}); err == nil {
-		t.Fatal("the answer was not lost")
+		t.Fatal("the response was not lost")
 	}
 	won := requireAccepted(t, applyEdit(t, b, edit))
 	if won != base+1 {
@@ -96,7 +96,7 @@
 
 // Guards against a VM with a data folder that cannot serve until a voter
 // responds, and against serving a corrupt state file.
-func TestStartWhileNoVoterAnswers(t *testing.T) {
+func TestStartWhileNoVoterResponds(t *testing.T) {
 	c := newTestCluster(t, 2, 1)
 	voter := c.start(0, "muc-a", nil)
 	folder := t.TempDir()
@@ -173,7 +173,7 @@
 }
 
 // Guards against activating a lower revision than the current one.
-func TestAdoptRefusesLowerRevision(t *testing.T) {
+func TestActivateRejectsLowerRevision(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	n := c.start(0, "muc-a", nil)
 	requireAccepted(t, applyFirst(t, n, clusterDocument("")))
--- a/internal/daemon/examples_test.go
+++ b/internal/daemon/examples_test.go
@@ -193,7 +193,7 @@
 		}
 	}
 	var again *adminv1.ApplyConfigResponse
-	await(t, "answer from the new leader", func() bool {
+	await(t, "response from the new leader", func() bool {
 		var err error
 		again, err = adminClientOf(asked).ApplyConfig(context.Background(), &adminv1.ApplyConfigRequest{Edit: edit})
 		return err == nil
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// answer is the response that a caller received.
-type answer struct {
+// result is the response that a caller received.
+type result struct {
 	status int
 	header http.Header
 	text   string
@@ -151,7 +151,7 @@
 
 // complete reports whether the stream succeeded and ended with exactly one
 // [DONE].
-func (a answer) complete() bool { return a.status == http.StatusOK && a.done == 1 && a.failed == "" }
+func (a result) complete() bool { return a.status == http.StatusOK && a.done == 1 && a.failed == "" }
 
 func chatBody(prompt string, tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, testModel, stream, tokens, prompt)
@@ -173,7 +173,7 @@
 
 // ask streams one chat completion. It calls each, which may be nil, for every
 // event.
-func ask(t testing.TB, vm *testVM, prompt string, tokens int, each func(n int)) answer {
+func ask(t testing.TB, vm *testVM, prompt string, tokens int, each func(n int)) result {
 	t.Helper()
 	resp, err := send(t.Context(), http.MethodPost, vm.base+"/v1/chat/completions", testKey, chatBody(prompt, tokens, true))
 	if err != nil {
@@ -182,9 +182,9 @@
 	return readResponse(resp, each)
 }
 
-func readResponse(resp *http.Response, each func(n int)) answer {
+func readResponse(resp *http.Response, each func(n int)) result {
 	defer resp.Body.Close()
-	a := answer{status: resp.StatusCode, header: resp.Header}
+	a := result{status: resp.StatusCode, header: resp.Header}
 	if resp.Header.Get("Content-Type") != "text/event-stream" {
 		body, _ := io.ReadAll(resp.Body)
 		a.body = string(body)
@@ -205,7 +205,7 @@
 	return a
 }
 
-func (a *answer) addEvent(data []byte) {
+func (a *result) addEvent(data []byte) {
 	if string(data) == "[DONE]" {
 		a.done++
 		return
--- a/internal/daemon/indexrpc.go
+++ b/internal/daemon/indexrpc.go
@@ -53,10 +53,10 @@
 	load     *indexv1.LoadReport
 }
 
-// indexPeerFor returns the client for a member. An unchanged member keeps its
-// connection and its queue.
+// indexPeerFor returns the index peer for a member. An unchanged member keeps
+// its client and its queue.
 func (r *regionIndex) indexPeerFor(ctx context.Context, old *indexPeers, m membership.Member) *indexPeer {
-	if p, ok := old.clients[m.VM]; ok && p.incarnation == m.Incarnation && p.address == m.PeerAddress {
+	if p, ok := old.byVM[m.VM]; ok && p.incarnation == m.Incarnation && p.address == m.PeerAddress {
 		return p
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -94,20 +94,22 @@
 	}
 }
 
-func (n indexUpdate) addTo(req *indexv1.PublishRequest) {
-	if n.dispatch != nil {
-		req.Dispatches = append(req.Dispatches, n.dispatch)
+func (u indexUpdate) addTo(req *indexv1.PublishRequest) {
+	if u.dispatch != nil {
+		req.Dispatches = append(req.Dispatches, u.dispatch)
 	}
-	if n.load != nil {
-		req.Loads = append(req.Loads, n.load)
+	if u.load != nil {
+		req.Loads = append(req.Loads, u.load)
 	}
 }
 
-// Lookup implements routing.OwnerLookup. It asks the owner of the chain.
+// Lookup implements routing.OwnerLookup. It asks the owner of the chain. It
+// returns false if this VM is the owner or if the owner does not respond; the
+// local index then serves the lookup.
 func (r *regionIndex) Lookup(ctx context.Context, chain []prefix.Hash) ([]prefix.Holding, bool) {
 	peers := r.peers.Load()
 	owner := peers.owners.Owner(chain[0])
-	peer, ok := peers.clients[owner]
+	peer, ok := peers.byVM[owner]
 	now := r.node.clock()
 	if owner == r.node.settings.VM {
 		r.coalesce(ctx, chain)
@@ -171,7 +173,7 @@
 }
 
 func (r *regionIndex) publishTo(ctx context.Context, owner string, req *indexv1.PublishRequest) bool {
-	peer, ok := r.peers.Load().clients[owner]
+	peer, ok := r.peers.Load().byVM[owner]
 	if !ok {
 		return false
 	}
--- a/internal/daemon/keylease.go
+++ b/internal/daemon/keylease.go
@@ -31,22 +31,22 @@
 	last time.Time
 }
 
-func (l *controlContact) record(at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if at.After(l.last) {
-		l.last = at
+func (c *controlContact) record(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if at.After(c.last) {
+		c.last = at
 	}
 }
 
-// age returns the time since the last contact; ok is false if there was none.
-func (l *controlContact) age(now time.Time) (time.Duration, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.last.IsZero() {
+// age returns the time since the last contact, and false if there was none.
+func (c *controlContact) age(now time.Time) (time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.last.IsZero() {
 		return 0, false
 	}
-	return max(0, now.Sub(l.last)), true
+	return max(0, now.Sub(c.last)), true
 }
 
 // refresh fetches changes and renews the contact with the control VMs.
@@ -111,8 +111,9 @@
 	return out
 }
 
-// refreshFromZone polls the delegates of the zone. It reports whether one of
-// them had recent contact with a control VM.
+// refreshFromZone polls the zone peers with the lowest names. For a VM that is
+// not a delegate, these are the delegates. It reports whether one of them had
+// recent contact with a control VM.
 func (d *distribution) refreshFromZone(ctx context.Context) bool {
 	peers := d.zonePeers()
 	for _, p := range peers[:min(len(peers), delegatesPerZone)] {
@@ -124,8 +125,8 @@
 }
 
 // refreshFromVoters polls voters, nearest first, until one has recent contact
-// with the quorum. If none has, it polls the zone peers, which may reach other
-// voters.
+// with the quorum. If none has, it calls refreshFromZone, because zone peers
+// may reach other voters.
 func (d *distribution) refreshFromVoters(ctx context.Context) {
 	voters := d.votersByDistance()
 	for _, p := range voters[:min(len(voters), maxVoterAttempts)] {
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -96,8 +96,8 @@
 	return files
 }
 
-// Guards against a VM that keeps using an old certificate, or has no
-// certificate while the files are being replaced.
+// Guards against a VM that keeps using an old certificate after a replacement,
+// or has none while the files are being replaced.
 func TestCertificateReload(t *testing.T) {
 	folder := t.TempDir()
 	c := &certificateReloader{files: writeCertificate(t, folder, "first"), logger: zap.NewNop()}
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	defer engine.Close()
-	await(t, "answer", func() bool { return ask(t, vm, "dossier", 1, nil).complete() })
+	await(t, "response", func() bool { return ask(t, vm, "dossier", 1, nil).complete() })
 	got := ask(t, vm, "dossier", 500, func(n int) {
 		if n == 20 {
 			_ = daemon.Process.Signal(syscall.SIGTERM)
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -19,7 +19,7 @@
 	awaitTarget(t, vms[1], "engine-1")
 	awaitTarget(t, vms[2], "engine-1")
 
-	await(t, "answer", func() bool { return ask(t, vms[0], "grade it", 20, nil).complete() })
+	await(t, "response", func() bool { return ask(t, vms[0], "grade it", 20, nil).complete() })
 	billed := func() (tokens uint64) {
 		totals, err := usageServer{vms[2].Node}.Report(t.Context(), &usagev1.Query{Workspace: "yards"})
 		if err != nil {
@@ -43,5 +43,5 @@
 		t.Fatal(err)
 	}
 	await(t, "other VMs have removed vm-1", func() bool { return len(vms[1].members()) == 2 && len(vms[2].members()) == 2 })
-	await(t, "usage of the answer is recorded", func() bool { return billed() == 20 })
+	await(t, "usage of the response is recorded", func() bool { return billed() == 20 })
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -239,8 +239,8 @@
 	return nil
 }
 
-// pollInterval is how often code that waits checks for a drain decision or
-// retries the final usage flush.
+// pollInterval is how often awaitDrain checks for a drain decision and
+// flushFinalUsage retries.
 const pollInterval = 20 * time.Millisecond
 
 // lameDuckPeriod is how long a VM that shuts down keeps accepting connections,
@@ -248,8 +248,10 @@
 // refused.
 const lameDuckPeriod = time.Second
 
-// Shutdown fails the readiness check, keeps serving for lameDuckPeriod, waits
-// until requests in flight have ended or ctx ends, and stops the VM.
+// Shutdown fails the readiness check, leaves the membership, keeps serving for
+// lameDuckPeriod, waits until requests in flight have ended or ctx ends,
+// flushes the usage, transfers the leadership of the control log and stops the
+// VM.
 func (n *Node) Shutdown(ctx context.Context) error {
 	n.draining.Store(true)
 	n.logger.Info("VM is shutting down", zap.Int64("running_requests", n.callers.ActiveRequests()))
@@ -258,8 +260,8 @@
 	case <-ctx.Done():
 	case <-time.After(lameDuckPeriod):
 	}
-	// Shutdown waits for connections, not only for handlers: when a handler has
-	// returned, the end of its response may still be in transit.
+	// http.Server.Shutdown waits for connections, not only for handlers: when a
+	// handler has returned, the end of its response may still be in transit.
 	err := n.callerServer.Shutdown(ctx)
 	n.flushFinalUsage()
 	n.transferLeadership()
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -182,7 +182,7 @@
 // shouldSend reports whether an order is due and may be sent to t now.
 func (o *orderDispatcher) shouldSend(open *ordersv1.Order, t *target.Target) bool {
 	now := o.node.clock()
-	if taken, ok := o.acceptedAt[open.GetId()]; ok && now.Sub(taken) < orderResendInterval {
+	if accepted, ok := o.acceptedAt[open.GetId()]; ok && now.Sub(accepted) < orderResendInterval {
 		return false
 	}
 	// An order must not arrive after the lease has expired.
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -10,7 +10,7 @@
 	"github.com/cuminwing/cuminwing/internal/target"
 )
 
-// Guards against a rollout that does not reach engines with and without fencing
+// Guards against a rollout that fails for engines with or without fencing
 // checks, loads a version twice, updates all engines of a zone, or stops when
 // the leader fails.
 func TestRolloutSurvivesLeaderFailure(t *testing.T) {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Limits for connections between VMs.
+// Limits for connections between VMs. The dial and idle timeouts also apply to
+// connections to targets, and the header timeout to all listeners.
 const (
 	peerDialTimeout       = time.Second
 	peerIdleTimeout       = time.Minute
--- a/internal/daemon/peertls.go
+++ b/internal/daemon/peertls.go
@@ -36,17 +36,17 @@
 // that is not a member yet is accepted, because VMs call each other before
 // gossip has spread the membership.
 func (n *Node) verifyPeer(id peertls.Identity, address netip.AddrPort, dialed bool) error {
-	for vm, voter := range n.settings.InitialVoters {
-		if dialed && voter == address.String() && vm != id.VM {
+	for vm, voterAddress := range n.settings.InitialVoters {
+		if dialed && voterAddress == address.String() && vm != id.VM {
 			return errPeerAddressMismatch
 		}
 	}
 	for _, m := range n.members() {
-		member, err := netip.ParseAddrPort(m.PeerAddress)
+		memberAddress, err := netip.ParseAddrPort(m.PeerAddress)
 		if err != nil {
 			continue
 		}
-		if dialed && member == address && m.VM != id.VM {
+		if dialed && memberAddress == address && m.VM != id.VM {
 			return errPeerAddressMismatch
 		}
 		if m.VM != id.VM {
@@ -55,7 +55,7 @@
 		if m.Zone != id.Zone {
 			return errPeerZoneMismatch
 		}
-		if member.Addr() != address.Addr() || dialed && member != address {
+		if memberAddress.Addr() != address.Addr() || dialed && memberAddress != address {
 			return errPeerAddressMismatch
 		}
 	}
--- a/internal/daemon/picker.go
+++ b/internal/daemon/picker.go
@@ -45,8 +45,8 @@
 	return &wrapped, nil
 }
 
-// startClaims registers the claims of at-most-once requests as a replicated
-// part and returns a client for them.
+// startClaims registers the claims of at-most-once requests as a state machine
+// and returns a client for them.
 func (n *Node) startClaims() serving.ClaimStore {
 	n.stateMachines[control.KindClaims] = idempotency.NewStateMachine()
 	return &idempotency.Client{
--- a/internal/daemon/rates.go
+++ b/internal/daemon/rates.go
@@ -19,7 +19,8 @@
 	// waiterCheckInterval is how often waiting requests are checked for tokens.
 	waiterCheckInterval = 25 * time.Millisecond
 	// rateReportInterval is how often a VM that holds tokens reports to the
-	// root. It must be well below the time to live of grants.
+	// root, the allocator on the leader of the control log. It must be well below
+	// the time to live of grants.
 	rateReportInterval = 400 * time.Millisecond
 	// rateWaitingReportInterval is the report interval while requests wait for
 	// tokens.
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -48,8 +48,7 @@
 	exports   *ring.Ring[routing.Export]
 	// lookupTimeout limits the wait for the owner of a chain.
 	lookupTimeout time.Duration
-	// peers holds the current assignment of chains and targets and the clients
-	// of the other VMs.
+	// peers holds the current assignment of chains and targets.
 	peers atomic.Pointer[indexPeers]
 
 	// knownTargets and readers are used only by the goroutine that runs
@@ -67,11 +66,12 @@
 
 // indexPeers assigns chains to the VMs of the region, and the event streams of
 // targets to the VMs of the zone. The zones of a region share the chains, so
-// that a VM knows the caches of all engines that it may use in its region.
+// that a VM knows the caches of all engines that it may use in its region. byVM
+// holds every VM of the region, this one included.
 type indexPeers struct {
 	owners  *prefix.VMSet
 	readers *prefix.VMSet
-	clients map[string]*indexPeer
+	byVM    map[string]*indexPeer
 }
 
 // newPicker creates the region index and the prefix-aware picker that uses it.
@@ -142,7 +142,7 @@
 // updateMembers returns true if the assignment changed or a VM restarted.
 func (r *regionIndex) updateMembers(ctx context.Context) bool {
 	var region, zone []string
-	clients := make(map[string]*indexPeer)
+	byVM := make(map[string]*indexPeer)
 	old := r.peers.Load()
 	for _, m := range r.members() {
 		if m.Region != r.node.settings.Region {
@@ -152,14 +152,14 @@
 		if m.Zone == r.node.settings.Zone {
 			zone = append(zone, m.VM)
 		}
-		clients[m.VM] = r.indexPeerFor(ctx, old, m)
+		byVM[m.VM] = r.indexPeerFor(ctx, old, m)
 	}
 	slices.Sort(region)
 	slices.Sort(zone)
 	same := slices.Equal(region, old.owners.Names()) && slices.Equal(zone, old.readers.Names())
-	r.peers.Store(&indexPeers{prefix.NewVMSet(region), prefix.NewVMSet(zone), clients})
-	for vm, p := range old.clients {
-		if clients[vm] != p {
+	r.peers.Store(&indexPeers{prefix.NewVMSet(region), prefix.NewVMSet(zone), byVM})
+	for vm, p := range old.byVM {
+		if byVM[vm] != p {
 			// The VM left, or it restarted with an empty index.
 			p.cancel()
 			same = false
@@ -168,8 +168,8 @@
 	return !same
 }
 
-// dropStaleTargets removes the index entries of target incarnations that are
-// gone or were replaced.
+// dropStaleTargets removes the index entries of target incarnations that left
+// the registry or were replaced.
 func (r *regionIndex) dropStaleTargets() {
 	now := make(map[string]target.Ref)
 	for _, t := range r.node.registry.All() {
@@ -212,7 +212,8 @@
 // onDispatch tells the owner of the chain which blocks the target is about to
 // hold, and all VMs of the region how much work the target received. Without
 // the latter, VMs would learn of each other's work only from load reports,
-// which are one second old.
+// which are one second old. A failed dispatch is reported only to the owner,
+// which removes its prediction.
 func (r *regionIndex) onDispatch(d routing.Dispatch) {
 	peers := r.peers.Load()
 	self := r.node.settings.VM
@@ -221,7 +222,7 @@
 	if len(d.Chain) > 0 {
 		owner = peers.owners.Owner(d.Chain[0])
 	}
-	if peer, ok := peers.clients[owner]; ok && owner != self {
+	if peer, ok := peers.byVM[owner]; ok && owner != self {
 		full := &indexv1.Dispatch{Target: work.Target, WorkUs: work.WorkUs, Blocks: encodeHashes(d.Chain), Held: uint32(d.HeldBlocks), Failed: d.Failed}
 		peer.pending.Push(indexUpdate{dispatch: full})
 	}
@@ -253,9 +254,9 @@
 }
 
 // broadcast queues an update for the selected peers if the budget allows it.
-func (r *regionIndex) broadcast(n indexUpdate, selected func(vm string, p *indexPeer) bool) {
+func (r *regionIndex) broadcast(update indexUpdate, selected func(vm string, p *indexPeer) bool) {
 	var recipients []*indexPeer
-	for vm, peer := range r.peers.Load().clients {
+	for vm, peer := range r.peers.Load().byVM {
 		if selected(vm, peer) {
 			recipients = append(recipients, peer)
 		}
@@ -264,7 +265,7 @@
 		return
 	}
 	for _, peer := range recipients {
-		peer.pending.Push(n)
+		peer.pending.Push(update)
 	}
 }
 
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -116,7 +116,7 @@
 	defer stream.Close()
 	chunk, err := stream.Next(5 * time.Second)
 	if err != nil {
-		t.Errorf("answer of %s: %v", pick.Target.ID, err)
+		t.Errorf("response of %s: %v", pick.Target.ID, err)
 	}
 	pick.Done(serving.AttemptResult{Err: err, CachedTokens: chunk.CachedTokens})
 	return pick.Target.ID, chunk.CachedTokens
@@ -194,8 +194,8 @@
 	return true
 }
 
-// Guards against an owner that does not receive its index entries again after a
-// restart under the same name.
+// Guards against an owner that restarts under the same name and does not
+// receive its index entries again.
 func TestRestartedOwnerGetsItsEntries(t *testing.T) {
 	vm := startRoutingVMs(t, 2)[0]
 	members := vm.regionIndex.members()
@@ -233,7 +233,7 @@
 	for b.Loop() {
 		start := time.Now()
 		if _, ok := from.regionIndex.Lookup(context.Background(), chain); !ok {
-			b.Fatal("the owner did not answer")
+			b.Fatal("the owner did not respond")
 		}
 		took = append(took, time.Since(start))
 	}
--- a/internal/daemon/services_test.go
+++ b/internal/daemon/services_test.go
@@ -89,11 +89,11 @@
 		status int
 		ran    int
 	}{
-		{"dropped answer", standin.ServiceFaults{DropResponse: true, MaxRequests: 1}, "body", 200, 2},
+		{"dropped response", standin.ServiceFaults{DropResponse: true, MaxRequests: 1}, "body", 200, 2},
 		{"overloaded replica", standin.ServiceFaults{Status: 503, MaxRequests: 1}, "body", 200, 2},
 		{"service error", standin.ServiceFaults{Status: 500}, "body", 500, 1},
 		{"body cannot be replayed", standin.ServiceFaults{DropResponse: true, MaxRequests: 1}, large, 502, 1},
-		{"truncated answer", standin.ServiceFaults{CloseAfterBytes: 2, MaxRequests: 1}, "body", 0, 1},
+		{"truncated response", standin.ServiceFaults{CloseAfterBytes: 2, MaxRequests: 1}, "body", 0, 1},
 	} {
 		vm := startVM(t, "muc-a", testDocument())
 		service := startService(t, "stock", "s1", vm)
@@ -233,7 +233,7 @@
 	await(t, "control log is available", func() bool { status, _, _ := order(vms[0], "warm-up", "x"); return status == 200 })
 	for i, vm := range vms {
 		if status, _, response := order(vm, "k1", "two oak"); status != 200 || response != "two oak" || service.Executions("k1") != 1 {
-			t.Errorf("resend %d: status %d, answer %q after %d executions", i, status, response, service.Executions("k1"))
+			t.Errorf("resend %d: status %d, response %q after %d executions", i, status, response, service.Executions("k1"))
 		}
 	}
 	if status, run, _ := order(vms[1], "k1", "three oak"); status != 422 || run != "not-run" {
@@ -241,11 +241,11 @@
 	}
 	service.SetFaults(standin.ServiceFaults{DropResponse: true})
 	if status, run, _ := order(vms[0], "k2", "x"); status != 502 || run != "unknown" {
-		t.Errorf("lost answer: status %d, %s", status, run)
+		t.Errorf("lost response: status %d, %s", status, run)
 	}
 	service.SetFaults(standin.ServiceFaults{})
 	if status, run, _ := order(vms[1], "k2", "x"); status != 409 || run != "unknown" || service.Executions("k2") != 1 {
-		t.Errorf("resend after a lost answer: status %d, %s after %d executions", status, run, service.Executions("k2"))
+		t.Errorf("resend after a lost response: status %d, %s after %d executions", status, run, service.Executions("k2"))
 	}
 	service.Close()
 	if status, run, _ := order(vms[0], "k3", "x"); status != 502 && status != 503 || run != "not-run" {
@@ -284,7 +284,7 @@
 	vms := startVMs(t, document, "muc-a", "muc-b", "muc-a")
 	engines := []*standin.Engine{startEngine(t, "e1", false, vms...), startEngine(t, "e2", true, vms...)}
 	started := func() int { return engines[0].RequestCount() + engines[1].RequestCount() }
-	grading := func(vm *testVM, key string, stream bool) answer {
+	grading := func(vm *testVM, key string, stream bool) result {
 		resp, err := send(t.Context(), "POST", vm.base+"/v1/chat/completions", testKey, chatBody("dossier", 20, stream), "Idempotency-Key", key)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/daemon/serving.go
+++ b/internal/daemon/serving.go
@@ -90,8 +90,9 @@
 	return n.listen(n.settings.CallerAddress, n.callerServer)
 }
 
-// keyValidator rejects withdrawn keys, and unconfirmed keys if the workspace
-// requires confirmation.
+// keyValidator rejects withdrawn keys. If the workspace refuses unconfirmed
+// keys, it also rejects all its keys unless this VM had contact with the control
+// VMs within the key lease.
 type keyValidator struct{ node *Node }
 
 func (k keyValidator) Usable(h apikeys.Hash, w config.Workspace) bool {
--- a/internal/daemon/withdrawals.go
+++ b/internal/daemon/withdrawals.go
@@ -22,7 +22,7 @@
 const (
 	keysFile = "withdrawn-keys.state"
 	// pushTimeout limits the wait for confirmations of a withdrawal or of a
-	// drain decision.
+	// drain decision, and one sync of withdrawn keys.
 	pushTimeout = 2 * time.Second
 	// keySyncInterval is how often the key digests of the members are compared.
 	keySyncInterval = time.Second
